--- a/clementinespar/jobs/demand.py
+++ b/clementinespar/jobs/demand.py
@@ -4,7 +4,7 @@
 
 from clementinespar.jobs import model
 
-LEARNING_SHARE = 0.15  # weight of the newest run time
+NEWEST_WEIGHT = 0.15  # weight of the newest run time
 RATE_WINDOW_S = 0.8  # time constant of the arrival rate
 
 
@@ -16,12 +16,12 @@
     def __init__(self) -> None:
         self._mean_ms_by_image = {}
 
-    def note(self, spec: model.StepSpec, took_ms: float) -> None:
+    def add(self, spec: model.StepSpec, took_ms: float) -> None:
         """Learn from a task that ended as done."""
         if not spec.image:
             return
         mean = self._mean_ms_by_image.get(spec.image, spec.estimate_ms or took_ms)
-        self._mean_ms_by_image[spec.image] = mean + LEARNING_SHARE * (took_ms - mean)
+        self._mean_ms_by_image[spec.image] = mean + NEWEST_WEIGHT * (took_ms - mean)
 
     def estimate_ms(self, spec: model.StepSpec) -> float:
         """Return the expected run time of one task, in ms."""
@@ -32,17 +32,17 @@
     """Decaying average of arriving work, in core-seconds for each second."""
 
     _rate: float
-    _noted_at: float
+    _updated_at: float
 
     def __init__(self) -> None:
         self._rate = 0.0
-        self._noted_at = 0.0
+        self._updated_at = 0.0
 
-    def note(self, core_seconds: float, now: float) -> None:
+    def add(self, core_seconds: float, now: float) -> None:
         """Count work that arrived now."""
         self._rate = self.read(now) + core_seconds / RATE_WINDOW_S
-        self._noted_at = now
+        self._updated_at = now
 
     def read(self, now: float) -> float:
         """Return the rate at a time."""
-        return self._rate * math.exp((self._noted_at - now) / RATE_WINDOW_S)
+        return self._rate * math.exp((self._updated_at - now) / RATE_WINDOW_S)
--- a/clementinespar/jobs/fenced_log.py
+++ b/clementinespar/jobs/fenced_log.py
@@ -17,7 +17,9 @@
     """
 
     _sequence: int  # of the next append
-    _turn: asyncio.Lock  # the store refuses an append whose predecessor is missing
+    _append_lock: (
+        asyncio.Lock
+    )  # the store refuses an append whose predecessor is missing
 
     def __init__(
         self,
@@ -25,15 +27,15 @@
         partition: int,
         epoch: int,
         retry_s: float,
-        record: services.JobRecorder,
+        log_event: services.EventLog,
     ) -> None:
         self._store = store
         self._partition = partition
         self._epoch = epoch
         self._retry_s = retry_s
-        self._record = record
+        self._log_event = log_event
         self._sequence = 0
-        self._turn = asyncio.Lock()
+        self._append_lock = asyncio.Lock()
 
     async def append(self, records: Sequence[services.KeyedRecord]) -> None:
         """Append records; repeats until the store has answered.
@@ -43,7 +45,7 @@
         errors.ClementinesparError
             With ``STORE_FENCED``: the store has seen a later owner.
         """
-        async with self._turn:
+        async with self._append_lock:
             sequence = self._sequence
             self._sequence += 1
             while True:
@@ -55,5 +57,5 @@
                 except errors.ClementinesparError as error:
                     if error.code is codes.ResultCode.STORE_FENCED:
                         raise
-                    self._record("append_retried", code=int(error.code))
+                    self._log_event("append_retried", code=int(error.code))
                 await asyncio.sleep(self._retry_s)
--- a/clementinespar/jobs/fleet.py
+++ b/clementinespar/jobs/fleet.py
@@ -23,24 +23,24 @@
 )
 
 TICK_S = 0.25
-HOLDER_MARGIN_S = 0.6  # a former holder learns of its loss by its next join
-CONFIRMED_WITHIN_S = 1.2  # no order without a recent confirmation of ownership
+PREVIOUS_OWNER_MARGIN_S = 0.6  # a former holder learns of its loss by its next join
+CONFIRMATION_MAX_AGE_S = 1.2  # no order without a recent confirmation of ownership
 # An evacuation that is not asked for again ends after this; a slow platform may carry
 # the order out seconds after the worker was found free.
-EVACUATION_KEPT_S = 6.0
+EVACUATION_TTL_S = 6.0
 URGENT_AFTER_S = 3.0  # short work is stopped when an evacuation takes this long
-POOL_SHARE = 0.25  # of a pool's hosts that may be on their way out at once
+MAX_LEAVING_SHARE = 0.25  # of a pool's hosts that may be on their way out at once
 ARRIVAL_LIMIT_S = 6.0  # a moved host that is not up by then is not counted
 LOG_INTERVAL_S = 2.0
-HOST_CORES = 16.0  # until a worker of the pool is known
-RETURN_S = 0.8  # a host's new worker appears this long after its upkeep
+DEFAULT_HOST_CORES = 16.0  # until a worker of the pool is known
+HOST_RETURN_S = 0.8  # a host's new worker appears this long after its upkeep
 
 
 @dataclasses.dataclass(slots=True)
 class _WaveProgress:
     """How far one wave is."""
 
-    wave: model.UpkeepWave
+    wave: model.MaintenanceWave
     asked_at: float  # event-loop time
     begun: set[str] = dataclasses.field(default_factory=set)
     ordered_at: dict[str, float] = dataclasses.field(default_factory=dict)
@@ -55,7 +55,7 @@
     epoch: int
     is_lost: bool  # a later holder was here
     _waves: dict[int, _WaveProgress]
-    _turns: dict[str, capacity.TurnState]
+    _peaks: dict[str, capacity.PeakState]
     _arriving: dict[str, tuple[str, float]]  # host id: its new pool and since when
     _logged_at: float
     _log: fenced_log.FencedLog
@@ -63,39 +63,39 @@
     def __init__(
         self,
         epoch: int,
-        keeper: ownership.OwnershipKeeper,
+        ownership_manager: ownership.OwnershipManager,
         jobs: service.JobService,
         store: services.JobStore,
         hosts: services.HostService,
         waves: services.WaveSource,
         configuration: services.ConfigurationSource,
         holder_lease_s: float,
-        upkeep_s: float,
-        record: services.JobRecorder,
+        maintenance_s: float,
+        log_event: services.EventLog,
     ) -> None:
         self.epoch = epoch
         self.is_lost = False
-        self._keeper = keeper
+        self._ownership_manager = ownership_manager
         self._jobs = jobs
         self._store = store
         self._hosts = hosts
         self._wave_source = waves
         self._configuration = configuration
         self._holder_lease_s = holder_lease_s
-        self._upkeep_s = upkeep_s
-        self._record = record
+        self._maintenance_s = maintenance_s
+        self._log_event = log_event
         self._waves = {}
-        self._turns = {}
+        self._peaks = {}
         self._arriving = {}
         self._logged_at = 0.0
         self._log = fenced_log.FencedLog(
-            store, ownership.FLEET_PARTITION, epoch, TICK_S, record
+            store, ownership.FLEET_PARTITION, epoch, TICK_S, log_event
         )
 
     async def run(self) -> None:
         """Load what former holders did, wait for the last to stop, then act."""
         loop = asyncio.get_running_loop()
-        acts_from = loop.time() + self._holder_lease_s + HOLDER_MARGIN_S
+        acts_from = loop.time() + self._holder_lease_s + PREVIOUS_OWNER_MARGIN_S
         begun_by_wave: dict[int, set[str]] = {}
         while True:
             try:
@@ -107,16 +107,16 @@
                     if entry.key.startswith("wave"):
                         begun_by_wave[int(entry.key[4:])] = set(json.loads(entry.value))
                     elif entry.key == "turns":
-                        self._restore_turns(json.loads(entry.value), loop.time())
+                        self._restore_peaks(json.loads(entry.value), loop.time())
                 break
             except errors.ClementinesparError as error:
                 if error.code is codes.ResultCode.STORE_FENCED:
                     self.is_lost = True
                     return
-                self._record("fleet_load_retried", code=int(error.code))
+                self._log_event("fleet_load_retried", code=int(error.code))
             await asyncio.sleep(TICK_S)
         await asyncio.sleep(max(0.0, acts_from - loop.time()))
-        self._record("fleet_holder", epoch=self.epoch)
+        self._log_event("fleet_holder", epoch=self.epoch)
         while True:
             for number, wave in self._wave_source.by_number.items():
                 if number not in self._waves:
@@ -126,19 +126,19 @@
             try:
                 await self._tick()
             except errors.ClementinesparError as error:
-                self._record("fleet_tick_failed", code=int(error.code))
+                self._log_event("fleet_tick_failed", code=int(error.code))
                 if error.code is codes.ResultCode.STORE_FENCED:
                     self.is_lost = True
                     return
             await asyncio.sleep(TICK_S)
 
     def _may_act(self) -> bool:
-        confirmed = self._keeper.confirmed_at()
+        confirmed = self._ownership_manager.confirmed_at()
         now = asyncio.get_running_loop().time()
         return (
-            self._keeper.is_fleet_owner
+            self._ownership_manager.is_fleet_owner
             and confirmed is not None
-            and now - confirmed < CONFIRMED_WITHIN_S
+            and now - confirmed < CONFIRMATION_MAX_AGE_S
         )
 
     async def _tick(self) -> None:
@@ -148,9 +148,11 @@
         for wave in self._waves.values():
             if not wave.is_done:
                 await self._advance_wave(wave, hosts_by_id)
-        await self._follow_demand(hosts_by_id)
+        await self._move_hosts_to_demand(hosts_by_id)
 
-    async def _follow_demand(self, hosts_by_id: dict[str, model.HostEntry]) -> None:
+    async def _move_hosts_to_demand(
+        self, hosts_by_id: dict[str, model.HostEntry]
+    ) -> None:
         """Move idle hosts to where work waits, or to rest."""
         loop = asyncio.get_running_loop()
         now = loop.time()
@@ -172,18 +174,18 @@
                 del self._arriving[host_id]
         views = []
         for pool in configuration.pools_by_name.values():
-            if not pool.is_spare and pool.name not in self._turns:
+            if not pool.is_spare and pool.name not in self._peaks:
                 home = sum(1 for host in hosts_by_id.values() if host.pool == pool.name)
-                self._turns[pool.name] = capacity.TurnState(home)
-            view = await self._view_pool(pool, hosts_by_id, leaving)
+                self._peaks[pool.name] = capacity.PeakState(home)
+            view = await self._build_pool_view(pool, hosts_by_id, leaving)
             if view is None:
                 return  # the owner of the pool cannot be asked now
             views.append(view)
-        before = self._describe_turns()
-        moves = capacity.plan_moves(views, self._turns, now)
+        before = self._encode_peaks()
+        moves = capacity.plan_moves(views, self._peaks, now)
         if moves or now - self._logged_at >= LOG_INTERVAL_S:
             self._logged_at = now
-            self._record(
+            self._log_event(
                 "capacity",
                 pools={
                     view.name: [
@@ -192,7 +194,7 @@
                         round(view.waiting_cores, 1),
                         round(view.arriving_cores, 1),
                         len(view.movable),
-                        self._describe_turn(view.name),
+                        self._describe_peak(view.name),
                     ]
                     for view in views
                 },
@@ -201,11 +203,11 @@
         async with asyncio.TaskGroup() as group:
             for move in moves:
                 group.create_task(self._move_host(move, hosts_by_id[move.host_id]))
-        after = self._describe_turns()
+        after = self._encode_peaks()
         if after != before:
             await self._store_record("turns", after)
 
-    async def _view_pool(
+    async def _build_pool_view(
         self,
         pool: model.Pool,
         hosts_by_id: dict[str, model.HostEntry],
@@ -222,18 +224,18 @@
         if pool.is_spare:
             movable = [host.host_id for host in up if host.host_id not in leaving]
             return capacity.PoolView(
-                pool.name, True, HOST_CORES, len(up) + arriving, movable=movable
+                pool.name, True, DEFAULT_HOST_CORES, len(up) + arriving, movable=movable
             )
         try:
             load = await self._jobs.describe_load(pool.name)
         except errors.ClementinesparError as error:
-            self._record("load_unknown", pool=pool.name, code=int(error.code))
+            self._log_event("load_unknown", pool=pool.name, code=int(error.code))
             return None
         workers = load["workers"]
         return capacity.PoolView(
             name=pool.name,
             is_spare=False,
-            host_cores=load["worker_cores"] or HOST_CORES,
+            host_cores=load["worker_cores"] or DEFAULT_HOST_CORES,
             hosts=len(up) + arriving,
             used_cores=sum(worker["used_cores"] for worker in workers.values()),
             waiting_cores=load["waiting_cores"],
@@ -260,11 +262,11 @@
             )
         except errors.ClementinesparError as error:
             # The host may be on its way; the next lists of hosts show it.
-            self._record(
+            self._log_event(
                 "host_move_unanswered", host=move.host_id, code=int(error.code)
             )
             return
-        self._record(
+        self._log_event(
             "host_move",
             host=move.host_id,
             source=move.source,
@@ -274,37 +276,39 @@
         if not is_moved:
             del self._arriving[move.host_id]
 
-    def _describe_turn(self, pool: str) -> str:
+    def _describe_peak(self, pool: str) -> str:
         """Return a word for the log."""
-        turn = self._turns.get(pool)
-        if turn is None:
+        peak = self._peaks.get(pool)
+        if peak is None:
             return "spare"
-        if turn.is_peaking:
+        if peak.is_peaking:
             return "peak"
-        return "resting" if turn.is_resting else "home"
+        return "resting" if peak.is_resting else "home"
 
-    def _describe_turns(self) -> dict[str, object]:
+    def _encode_peaks(self) -> dict[str, object]:
         """Return what the next holder needs to know of the peaks."""
         ended = sorted(
-            (n for n, turn in self._turns.items() if turn.turn_ended_at is not None),
-            key=lambda n: self._turns[n].turn_ended_at or 0.0,
+            (n for n, peak in self._peaks.items() if peak.peak_ended_at is not None),
+            key=lambda n: self._peaks[n].peak_ended_at or 0.0,
         )
         return {
             name: {
-                "home": turn.home_hosts,
-                "peaking": turn.is_peaking,
+                "home": peak.home_hosts,
+                "peaking": peak.is_peaking,
                 "rank": ended.index(name) if name in ended else -1,
             }
-            for name, turn in sorted(self._turns.items())
+            for name, peak in sorted(self._peaks.items())
         }
 
-    def _restore_turns(self, told: dict[str, dict[str, int]], now: float) -> None:
-        for name, held in told.items():
-            self._turns[name] = capacity.TurnState(
-                home_hosts=int(held["home"]),
-                is_peaking=bool(held["peaking"]),
+    def _restore_peaks(self, fields: dict[str, dict[str, int]], now: float) -> None:
+        for name, stored in fields.items():
+            self._peaks[name] = capacity.PeakState(
+                home_hosts=int(stored["home"]),
+                is_peaking=bool(stored["peaking"]),
                 # Only the order of the ends matters.
-                turn_ended_at=now + 1e-3 * held["rank"] if held["rank"] >= 0 else None,
+                peak_ended_at=now + 1e-3 * stored["rank"]
+                if stored["rank"] >= 0
+                else None,
             )
 
     async def _advance_wave(
@@ -323,7 +327,7 @@
         if not missing:
             await self._wave_source.report(wave, is_done=True)
             progress.is_done = True
-            self._record("wave_done", wave=wave.number, begun=len(progress.begun))
+            self._log_event("wave_done", wave=wave.number, begun=len(progress.begun))
             return
         down = {
             host_id
@@ -343,7 +347,7 @@
             if len(down) >= wave.max_down or not self._may_act():
                 continue
             down.add(host.host_id)
-            await self._begin_upkeep(progress, host)
+            await self._start_maintenance(progress, host)
 
     def _is_down(
         self, progress: _WaveProgress, host: model.HostEntry | None, now: float
@@ -351,7 +355,10 @@
         if host is None:
             return False
         ordered_at = progress.ordered_at.get(host.host_id)
-        if ordered_at is not None and now - ordered_at < self._upkeep_s + RETURN_S:
+        if (
+            ordered_at is not None
+            and now - ordered_at < self._maintenance_s + HOST_RETURN_S
+        ):
             return True
         return host.state == "upkeep"
 
@@ -378,7 +385,11 @@
             1 for host in missing if host.host_id in progress.evacuating_since
         )
         left_s = progress.asked_at + progress.wave.deadline_s - loop.time()
-        share = POOL_SHARE if left_s > progress.wave.deadline_s / 3 else POOL_SHARE * 2
+        share = (
+            MAX_LEAVING_SHARE
+            if left_s > progress.wave.deadline_s / 3
+            else MAX_LEAVING_SHARE * 2
+        )
         for host in missing:
             if host.host_id in progress.evacuating_since or host.state != "up":
                 continue
@@ -392,7 +403,7 @@
             progress.evacuating_since[host.host_id] = loop.time()
             out_by_pool[host.pool] = out_by_pool.get(host.pool, 0) + 1
             leaving += 1
-            self._record(
+            self._log_event(
                 "host_leaving",
                 host=host.host_id,
                 pool=host.pool,
@@ -412,22 +423,22 @@
             return True
         try:
             return await self._jobs.evacuate(
-                host.pool, host.worker_id, EVACUATION_KEPT_S, urgency
+                host.pool, host.worker_id, EVACUATION_TTL_S, urgency
             )
         except errors.ClementinesparError as error:
-            self._record(
+            self._log_event(
                 "evacuation_unanswered", host=host.host_id, code=int(error.code)
             )
             return False
 
-    async def _begin_upkeep(
+    async def _start_maintenance(
         self, progress: _WaveProgress, host: model.HostEntry
     ) -> None:
         loop = asyncio.get_running_loop()
         number = progress.wave.number
         progress.ordered_at[host.host_id] = loop.time()
-        is_begun = await self._hosts.upkeep(host.host_id, number, self.epoch)
-        self._record(
+        is_begun = await self._hosts.start_maintenance(host.host_id, number, self.epoch)
+        self._log_event(
             "host_upkeep",
             host=host.host_id,
             pool=host.pool,
--- a/clementinespar/jobs/model.py
+++ b/clementinespar/jobs/model.py
@@ -218,7 +218,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Advice:
+class IssuedTickets:
     """Workers that may run a step."""
 
     tickets_by_worker: dict[str, str]
@@ -246,7 +246,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class UpkeepWave:
+class MaintenanceWave:
     """A wave of upkeep that the operators ask for."""
 
     number: int
--- a/clementinespar/jobs/node.py
+++ b/clementinespar/jobs/node.py
@@ -17,7 +17,9 @@
     telemetry,
 )
 
-READY_WITHIN_S = 4.0  # a node that has not reached the store for longer is not ready
+STORE_ANSWER_MAX_AGE_S = (
+    4.0  # a node that has not reached the store for longer is not ready
+)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -38,7 +40,7 @@
     """One running node; made by `run_node`."""
 
     jobs: service.JobService
-    keeper: ownership.OwnershipKeeper
+    ownership_manager: ownership.OwnershipManager
     metrics: telemetry.JobMetrics
     is_stopping: bool
     _parts: PlatformParts
@@ -48,7 +50,7 @@
         settings: options.JobNodeSettings,
         parts: PlatformParts,
         caller: http_calls.HttpCaller,
-        record: services.JobRecorder,
+        log_event: services.EventLog,
     ) -> None:
         self.metrics = telemetry.JobMetrics()
         self.is_stopping = False
@@ -60,24 +62,24 @@
                 partition,
                 epoch,
                 lambda pool: ownership.partition_of(pool) == partition,
-                self.keeper.confirmed_at,
+                self.ownership_manager.confirmed_at,
                 lambda owner: None,
                 parts.store,
                 parts.directory,
                 parts.workers,
                 parts.adviser,
                 owner_settings,
-                record,
+                log_event,
                 self.metrics,
             )
 
-        def hold_fleet(
+        def own_fleet(
             epoch: int,
         ) -> contextlib.AbstractAsyncContextManager[fleet.FleetOwner]:
             return fleet.own_fleet(
                 fleet.FleetOwner(
                     epoch,
-                    self.keeper,
+                    self.ownership_manager,
                     self.jobs,
                     parts.store,
                     parts.hosts,
@@ -85,32 +87,32 @@
                     parts.configuration,
                     settings.hosts.holder_lease_ms / 1000,
                     settings.hosts.upkeep_s,
-                    record,
+                    log_event,
                 )
             )
 
-        self.keeper = ownership.OwnershipKeeper(
+        self.ownership_manager = ownership.OwnershipManager(
             parts.group,
             make_owner,
-            hold_fleet,
+            own_fleet,
             self.wanted_partitions,
             settings.node.core_millis,
-            record,
+            log_event,
         )
         self.jobs = service.JobService(
-            self.keeper, parts.configuration, parts.store, caller
+            self.ownership_manager, parts.configuration, parts.store, caller
         )
 
     @property
     def is_ready(self) -> bool:
         """Whether the balancer may send callers here."""
-        reached = self.keeper.reached_at
+        reached = self.ownership_manager.reached_at
         now = asyncio.get_running_loop().time()
         return (
             not self.is_stopping
             and self._parts.configuration.current is not None
             and reached is not None
-            and now - reached < READY_WITHIN_S
+            and now - reached < STORE_ANSWER_MAX_AGE_S
         )
 
     def wanted_partitions(self) -> frozenset[int]:
@@ -124,7 +126,7 @@
 
     def needs_directory(self) -> bool:
         """Whether this node owns a pool and so must know its workers."""
-        return bool(self.keeper.assigned & self.wanted_partitions())
+        return bool(self.ownership_manager.assigned & self.wanted_partitions())
 
 
 @contextlib.asynccontextmanager
@@ -141,5 +143,7 @@
                 node.metrics,
             )
         )
-        await stack.enter_async_context(ownership.keep_ownership(node.keeper))
+        await stack.enter_async_context(
+            ownership.run_ownership_manager(node.ownership_manager)
+        )
         yield
--- a/clementinespar/jobs/ownership.py
+++ b/clementinespar/jobs/ownership.py
@@ -19,11 +19,11 @@
 OWNERS_MAX_AGE_S = 2.0
 # A small node owns nothing while this many larger ones do; an owner of a busy pool
 # needs about a whole core.
-ENOUGH_LARGER = 3
-LARGER_FACTOR = 1.5  # of the own cores
-STAND_BY_INTERVAL_S = 1.0
+MIN_LARGER_NODES = 3
+LARGER_NODE_FACTOR = 1.5  # of the own cores
+STANDBY_INTERVAL_S = 1.0
 # Between looks at the sizes while no larger node was seen in as long after the start.
-SIZES_INTERVAL_S = 5.0
+SIZE_CHECK_INTERVAL_S = 5.0
 
 
 def format_member(address: str, born_ms: int, core_millis: int) -> str:
@@ -46,14 +46,14 @@
     return zlib.crc32(pool.encode()) % FLEET_PARTITION
 
 
-class FleetHolder(Protocol):
+class FleetOwnerHandle(Protocol):
     """The holder of orders to hosts."""
 
     epoch: int
     is_lost: bool  # a later holder was here
 
 
-class OwnershipKeeper:
+class OwnershipManager:
     """Joins the group and runs an owner for each assigned partition."""
 
     owners_by_partition: dict[int, pool_owner.PoolOwner]
@@ -64,25 +64,25 @@
     unanswered_since: float | None  # event-loop time of the first call without answer
     _confirmed_at: float | None
     _stacks: dict[int, contextlib.AsyncExitStack]
-    _fleet_holder: FleetHolder | None
+    _fleet_owner: FleetOwnerHandle | None
     _epochs: dict[int, int]  # generation in which each partition came
     _fenced_epochs: dict[int, int]
     _owner_names: dict[int, str]
     _owners_read_at: float  # event-loop time
-    _larger_count: int  # members with more cores, as last seen
+    _larger_node_count: int  # members with more cores, as last seen
     _sizes_read_at: float  # event-loop time
-    _began_at: float  # event-loop time
+    _started_at: float  # event-loop time
 
     def __init__(
         self,
         group: services.OwnershipGroup,
         make_owner: Callable[[int, int], pool_owner.PoolOwner],
-        hold_fleet: Callable[
-            [int], contextlib.AbstractAsyncContextManager[FleetHolder]
+        own_fleet: Callable[
+            [int], contextlib.AbstractAsyncContextManager[FleetOwnerHandle]
         ],
         wanted_partitions: Callable[[], frozenset[int]],
         core_millis: int,
-        record: services.JobRecorder,
+        log_event: services.EventLog,
     ) -> None:
         self.owners_by_partition = {}
         self.is_fleet_owner = False
@@ -90,18 +90,18 @@
         self.assigned = frozenset()
         self._group = group
         self._make_owner = make_owner
-        self._hold_fleet = hold_fleet
+        self._own_fleet = own_fleet
         self._wanted_partitions = wanted_partitions
         self._core_millis = core_millis
         self.reached_at = None
         self.unanswered_since = None
-        self._larger_count = 0
+        self._larger_node_count = 0
         self._sizes_read_at = 0.0
-        self._began_at = 0.0
-        self._record = record
+        self._started_at = 0.0
+        self._log_event = log_event
         self._confirmed_at = None
         self._stacks = {}
-        self._fleet_holder = None
+        self._fleet_owner = None
         self._epochs = {}
         self._fenced_epochs = {}
         self._owner_names = {}
@@ -117,53 +117,58 @@
         is_reached = True
         # A node that comes back looks at the sizes before its first join: to own a pool
         # for a second costs two changes of owner.
-        self._began_at = loop.time()
-        self._sizes_read_at = self._began_at - SIZES_INTERVAL_S
+        self._started_at = loop.time()
+        self._sizes_read_at = self._started_at - SIZE_CHECK_INTERVAL_S
         while True:
             sent_at = loop.time()
             if self.unanswered_since is None:
                 self.unanswered_since = sent_at
             try:
-                if await self._stands_by():
-                    self._note_answer()
-                    await asyncio.sleep(STAND_BY_INTERVAL_S)
+                if await self._yield_to_larger_nodes():
+                    self._mark_reached()
+                    await asyncio.sleep(STANDBY_INTERVAL_S)
                     continue
                 assignment = await self._group.join(self.generation)
             except errors.ClementinesparError as error:
                 if error.code is codes.ResultCode.STORE_REFUSED:
                     self.unanswered_since = None  # a refusal is an answer
                 if is_reached:
-                    self._record("ownership_unconfirmed", code=int(error.code))
+                    self._log_event("ownership_unconfirmed", code=int(error.code))
                 is_reached = False
             else:
                 if not is_reached:
-                    self._record("ownership_confirmed_again")
+                    self._log_event("ownership_confirmed_again")
                 is_reached = True
-                self._note_answer()
+                self._mark_reached()
                 await self._apply(assignment, sent_at)
             await asyncio.sleep(max(0.05, sent_at + JOIN_INTERVAL_S - loop.time()))
 
-    def _note_answer(self) -> None:
+    def _mark_reached(self) -> None:
         self.reached_at = asyncio.get_running_loop().time()
         self.unanswered_since = None
 
-    async def _stands_by(self) -> bool:
+    async def _yield_to_larger_nodes(self) -> bool:
         """Whether larger nodes own the partitions; hands its own over to them."""
         loop = asyncio.get_running_loop()
-        interval_s = STAND_BY_INTERVAL_S
-        if self._larger_count == 0 and loop.time() - self._began_at > SIZES_INTERVAL_S:
-            interval_s = SIZES_INTERVAL_S
+        interval_s = STANDBY_INTERVAL_S
+        if (
+            self._larger_node_count == 0
+            and loop.time() - self._started_at > SIZE_CHECK_INTERVAL_S
+        ):
+            interval_s = SIZE_CHECK_INTERVAL_S
         if loop.time() - self._sizes_read_at >= interval_s:
             await self._read_owners()
             self._sizes_read_at = loop.time()
-            self._larger_count = sum(
-                parse_core_millis(member) > LARGER_FACTOR * self._core_millis
+            self._larger_node_count = sum(
+                parse_core_millis(member) > LARGER_NODE_FACTOR * self._core_millis
                 for member in set(self._owner_names.values())
             )
-        if self._larger_count < ENOUGH_LARGER:
+        if self._larger_node_count < MIN_LARGER_NODES:
             return False
         if self.generation:
-            self._record("ownership_left_to_larger_nodes", count=self._larger_count)
+            self._log_event(
+                "ownership_left_to_larger_nodes", count=self._larger_node_count
+            )
             await self.close()
             self.generation = 0
             self.assigned = frozenset()
@@ -172,16 +177,16 @@
 
     async def _apply(self, assignment: services.Assignment, sent_at: float) -> None:
         if assignment.generation != self.generation:
-            self._record(
+            self._log_event(
                 "assignment",
                 generation=assignment.generation,
                 partitions=sorted(assignment.partitions),
             )
         for partition in set(self.owners_by_partition) - assignment.partitions:
-            await self._end(partition)
+            await self._stop_owner(partition)
         for partition, owner in list(self.owners_by_partition.items()):
             if owner.is_lost:
-                await self._end(partition)
+                await self._stop_owner(partition)
         for partition in set(self._epochs) - assignment.partitions:
             del self._epochs[partition]
         for partition in assignment.partitions:
@@ -199,33 +204,33 @@
             epoch = self._epochs[partition]
             is_usable = epoch > self._fenced_epochs.get(partition, 0)
             if partition not in self.owners_by_partition and is_usable:
-                await self._begin(partition, epoch)
+                await self._start_owner(partition, epoch)
 
     async def _apply_fleet(self, generation: int) -> None:
         """Hold the orders to hosts while their partition is assigned."""
-        holder = self._fleet_holder
-        if holder is not None and (holder.is_lost or not self.is_fleet_owner):
-            self._fleet_holder = None
-            self._fenced_epochs[FLEET_PARTITION] = holder.epoch
+        fleet_owner = self._fleet_owner
+        if fleet_owner is not None and (fleet_owner.is_lost or not self.is_fleet_owner):
+            self._fleet_owner = None
+            self._fenced_epochs[FLEET_PARTITION] = fleet_owner.epoch
             await self._stacks.pop(FLEET_PARTITION).aclose()
-        if not self.is_fleet_owner or self._fleet_holder is not None:
+        if not self.is_fleet_owner or self._fleet_owner is not None:
             return
         # A holder that was fenced out needs a later generation than its own.
         if generation > self._fenced_epochs.get(FLEET_PARTITION, 0):
             stack = contextlib.AsyncExitStack()
-            self._fleet_holder = await stack.enter_async_context(
-                self._hold_fleet(generation)
+            self._fleet_owner = await stack.enter_async_context(
+                self._own_fleet(generation)
             )
             self._stacks[FLEET_PARTITION] = stack
 
-    async def _begin(self, partition: int, epoch: int) -> None:
+    async def _start_owner(self, partition: int, epoch: int) -> None:
         owner = self._make_owner(partition, epoch)
         stack = contextlib.AsyncExitStack()
         await stack.enter_async_context(pool_owner.own_partition(owner))
         self.owners_by_partition[partition] = owner
         self._stacks[partition] = stack
 
-    async def _end(self, partition: int) -> None:
+    async def _stop_owner(self, partition: int) -> None:
         owner = self.owners_by_partition.pop(partition)
         if owner.is_lost:
             # A fenced epoch is not used again: the next owner object waits for a
@@ -243,7 +248,7 @@
             try:
                 await self._read_owners()
             except errors.ClementinesparError as error:
-                self._record("owners_unknown", code=int(error.code))
+                self._log_event("owners_unknown", code=int(error.code))
         return self._owner_names.get(partition)
 
     async def _read_owners(self) -> None:
@@ -253,21 +258,23 @@
     async def close(self) -> None:
         """Give everything up in a planned way."""
         for partition in list(self.owners_by_partition):
-            await self._end(partition)
+            await self._stop_owner(partition)
         if FLEET_PARTITION in self._stacks:
-            self._fleet_holder = None
+            self._fleet_owner = None
             await self._stacks.pop(FLEET_PARTITION).aclose()
         try:
             await self._group.leave()
         except errors.ClementinesparError as error:
-            self._record("leave_failed", code=int(error.code))
+            self._log_event("leave_failed", code=int(error.code))
 
 
 @contextlib.asynccontextmanager
-async def keep_ownership(keeper: OwnershipKeeper) -> AsyncIterator[None]:
+async def run_ownership_manager(
+    ownership_manager: OwnershipManager,
+) -> AsyncIterator[None]:
     """Run a keeper while the context is entered."""
     try:
-        async with background.running(keeper.run()):
+        async with background.running(ownership_manager.run()):
             yield
     finally:
-        await keeper.close()
+        await ownership_manager.close()
--- a/clementinespar/jobs/peer_server.py
+++ b/clementinespar/jobs/peer_server.py
@@ -12,7 +12,7 @@
 from clementinespar.jobs import service, telemetry
 
 
-class _QuestionHandler(tornado.web.RequestHandler):
+class _PeerRequestHandler(tornado.web.RequestHandler):
     """Answers one question about a partition."""
 
     def initialize(self, jobs: service.JobService) -> None:
@@ -25,14 +25,14 @@
         """Answer as the owner, or with 503."""
         path = (self.request.uri or "")[len(partition) + 1 :]
         try:
-            told = self._jobs.answer_peer(int(partition), path)
+            reply = self._jobs.answer_peer(int(partition), path)
         except errors.ClementinesparError as error:
             self.set_status(503)
-            told = {"code": int(error.code), "message": error.message}
+            reply = {"code": int(error.code), "message": error.message}
         except (ValueError, KeyError) as error:
             self.set_status(400)
-            told = {"message": repr(error)}
-        self.finish(json.dumps(told))
+            reply = {"message": repr(error)}
+        self.finish(json.dumps(reply))
 
 
 class _JobHandler(tornado.web.RequestHandler):
@@ -44,16 +44,16 @@
     async def get(self, job_id: str) -> None:
         """Answer with the explanation, or with the code of the failure."""
         try:
-            told = await self._jobs.explain(job_id)
+            reply = await self._jobs.explain(job_id)
         except errors.ClementinesparError as error:
             is_unknown = error.code is codes.ResultCode.JOB_UNKNOWN
             self.set_status(404 if is_unknown else 503)
-            told = {
+            reply = {
                 "code": int(error.code),
                 "name": error.code.name,
                 "message": error.message,
             }
-        self.finish(json.dumps(told))
+        self.finish(json.dumps(reply))
 
 
 class _MetricsHandler(tornado.web.RequestHandler):
@@ -77,7 +77,7 @@
         [
             (r"/metrics", _MetricsHandler, {"metrics": metrics}),
             (r"/v1/jobs/([0-9A-Za-z]+)", _JobHandler, {"jobs": jobs}),
-            (r"/(\d+)/.*", _QuestionHandler, {"jobs": jobs}),
+            (r"/(\d+)/.*", _PeerRequestHandler, {"jobs": jobs}),
         ],
         log_function=lambda handler: None,
     )
--- a/clementinespar/jobs/placement.py
+++ b/clementinespar/jobs/placement.py
@@ -44,7 +44,7 @@
     return (LATE, job.spec.priority, -slack_s)
 
 
-class Room:
+class FreeCapacity:
     """Free capacity of the workers that may take work in one round."""
 
     _sessions: list[worker_session.WorkerSession]
@@ -90,9 +90,11 @@
                 best, best_score = session, score
         return best
 
-    def restrict(self, worker_ids: Container[str]) -> "Room":
+    def restrict(self, worker_ids: Container[str]) -> "FreeCapacity":
         """Return the room on some of the workers."""
-        return Room([s for s in self._sessions if s.entry.worker_id in worker_ids])
+        return FreeCapacity(
+            [s for s in self._sessions if s.entry.worker_id in worker_ids]
+        )
 
     def worker_ids(self) -> list[str]:
         """Return the ids of the workers, those with the most free cores first."""
@@ -149,18 +151,18 @@
 ) -> list[worker_session.WorkerSession] | None:
     chosen: list[worker_session.WorkerSession] = []
     for session in sorted(group, key=lambda s: -s.free_cpu):
-        room = size
+        member_count = size
         if spec.cpu_millis and not spec.is_filler:
-            room = min(room, session.free_cpu // spec.cpu_millis)
+            member_count = min(member_count, session.free_cpu // spec.cpu_millis)
         if spec.memory_mb:
-            room = min(room, session.free_memory // spec.memory_mb)
+            member_count = min(member_count, session.free_memory // spec.memory_mb)
         if spec.gpus:
-            room = min(room, session.free_gpus // spec.gpus)
+            member_count = min(member_count, session.free_gpus // spec.gpus)
         if spec.max_per_worker:
-            room = min(room, spec.max_per_worker)
+            member_count = min(member_count, spec.max_per_worker)
         if spec.label and spec.label not in session.entry.labels:
-            room = 0
-        chosen.extend([session] * max(0, room))
+            member_count = 0
+        chosen.extend([session] * max(0, member_count))
         if len(chosen) >= size:
             return chosen[:size]
     return None
--- a/clementinespar/jobs/pool_owner.py
+++ b/clementinespar/jobs/pool_owner.py
@@ -35,7 +35,7 @@
 LEASE_SHARE = 0.9  # of the longest lease that workers grant
 FLUSH_INTERVAL_S = 0.6  # ends are acknowledged at least this often
 SCHEDULE_SPACING_S = 0.004  # collects events for one round of placement
-RETRY_DELAY_S = 0.08  # after a failed run, so that others go first
+FAILED_RETRY_DELAY_S = 0.08  # after a failed run, so that others go first
 LOST_RETRY_DELAY_S = 0.02
 STORE_RETRY_S = 0.1
 # Long wait of a read for new commands. A connection may go silent for good, and a job
@@ -44,7 +44,7 @@
 COMMAND_SPACING_S = 0.01  # collects commands, since each read is priced
 STALE_COMMANDS_S = 1.4  # an unknown job is reported only if commands are this fresh
 STATUS_RETENTION_MS = 150_000  # longer than callers may ask for a final state
-HOUSEKEEPING_S = 0.5
+HOUSEKEEPING_INTERVAL_S = 0.5
 UNKNOWN_STEP = model.StepSpec(1)
 
 
@@ -76,13 +76,13 @@
     _lease_s: float
     _log: fenced_log.FencedLog
     _next_command: int  # offset
-    _use: worker_use.WorkerUse
+    _worker_use: worker_use.WorkerUse
     _placer: task_placer.TaskPlacer
-    _watch: run_watch.RunWatch
+    _run_watch: run_watch.RunWatch
     _cancelled_ids: set[str]
     _finished_commands: list[str]  # ids of jobs whose command can be dropped
     _unsubscribe: Callable[[], None]
-    _tickets: advice.TicketBook
+    _tickets: advice.TicketCache
     _run_times: demand.RunTimes
     _arrivals_by_pool: dict[str, demand.ArrivalRate]
     _dirty: dict[str, state.JobProgress]  # memory is ahead of the store
@@ -100,7 +100,7 @@
         workers: services.WorkerClient,
         adviser: services.Adviser,
         settings: OwnerSettings,
-        record: services.JobRecorder,
+        log_event: services.EventLog,
         metrics: telemetry.JobMetrics,
     ) -> None:
         self.partition = partition
@@ -119,11 +119,13 @@
         self._directory = directory
         self._workers = workers
         self._settings = settings
-        self._record = record
+        self._log_event = log_event
         self._lease_s = settings.lease_max_s * LEASE_SHARE
-        self._log = fenced_log.FencedLog(store, partition, epoch, STORE_RETRY_S, record)
+        self._log = fenced_log.FencedLog(
+            store, partition, epoch, STORE_RETRY_S, log_event
+        )
         self._next_command = 0
-        self._use = worker_use.WorkerUse()
+        self._worker_use = worker_use.WorkerUse()
         self._cancelled_ids = set()
         self._finished_commands = []
         self._unsubscribe = _do_nothing
@@ -131,11 +133,11 @@
         self._active = {}
         self._flush_wanted = asyncio.Event()
         self._schedule_wanted = asyncio.Event()
-        self._tickets = advice.TicketBook(adviser, record, self._schedule_wanted)
+        self._tickets = advice.TicketCache(adviser, log_event, self._schedule_wanted)
         self._placer = task_placer.TaskPlacer(
-            epoch, self.sessions_by_id, self._tickets, record, metrics
+            epoch, self.sessions_by_id, self._tickets, log_event, metrics
         )
-        self._watch = run_watch.RunWatch(
+        self._run_watch = run_watch.RunWatch(
             self.jobs_by_id, self.sessions_by_id, self._placer
         )
         self._run_times = demand.RunTimes()
@@ -150,24 +152,24 @@
     def on_contact(self, session: worker_session.WorkerSession) -> None:
         """Look for room after each report."""
         worker_id = session.entry.worker_id
-        self._use.answered.add(worker_id)
-        if worker_id not in self._use.in_use and not session.is_released():
-            self._use.in_use.add(worker_id)
+        self._worker_use.answered.add(worker_id)
+        if worker_id not in self._worker_use.in_use and not session.is_released():
+            self._worker_use.in_use.add(worker_id)
             if not self.may_lease(worker_id):
                 self._flush_wanted.set()
-        self._watch.check(session)
+        self._run_watch.check(session)
         self._schedule_wanted.set()
 
     def may_lease(self, worker_id: str) -> bool:
         """Whether the next owner would learn from the store of a lease there."""
-        return worker_id in self._use.stored
+        return worker_id in self._worker_use.stored
 
-    def on_silent(self, session: worker_session.WorkerSession) -> None:
+    def on_unresponsive(self, session: worker_session.WorkerSession) -> None:
         """Let copies of speculative tasks start beside runs on a silent worker."""
         for run in session.runs.values():
             if not run.spec.is_speculative:
                 continue
-            found = self._find_open(run.key)
+            found = self._find_open_task(run.key)
             if found is None:
                 continue
             job, task = found
@@ -179,11 +181,11 @@
         self, session: worker_session.WorkerSession, run: worker_session.Run
     ) -> None:
         """Ask the adviser again before the next start there."""
-        self._tickets.forget(run.key, session.entry.worker_id)
+        self._tickets.drop(run.key, session.entry.worker_id)
 
     def on_fenced(self) -> None:
         """Give the partition up: a later owner has reached a worker."""
-        self.lose("a worker has seen a later owner")
+        self.mark_lost("a worker has seen a later owner")
 
     def orphan_spec(self, key: model.TaskKey) -> model.StepSpec:
         """Return the size of a run that must be stopped."""
@@ -201,7 +203,7 @@
         """Apply an end once, whoever started the run."""
         self.metrics.count_end(end.kind.value)
         self._schedule_wanted.set()
-        found = self._find_open(end.task)
+        found = self._find_open_task(end.task)
         if found is None:
             return  # acknowledged with the next flush
         job, task = found
@@ -212,19 +214,19 @@
             task.saved = end.saved
         is_failure = end.kind is model.EndKind.FAILED
         if end.kind is model.EndKind.DONE:
-            session.note_outcome(job.spec.job_id, False)
+            session.record_outcome(job.spec.job_id, False)
             if run is not None:
                 now = asyncio.get_running_loop().time()
-                self._run_times.note(step.spec, (now - run.started_at) * 1000)
+                self._run_times.add(step.spec, (now - run.started_at) * 1000)
             if step.spec.is_gang:
                 self._finish_gang(job, step, end.run)
             else:
                 state.mark_done(step, task)
                 self._stop_copies(task)
         elif is_failure:
-            self._note_failure(session, job, step, task, end)
+            self._record_failure(session, job, step, task, end)
         if end.kind is not model.EndKind.DONE:
-            self._record(
+            self._log_event(
                 "end",
                 job=job.spec.job_id,
                 task=end.task.name_in_job,
@@ -232,13 +234,13 @@
                 worker=session.entry.worker_id,
                 kind=end.kind.value,
             )
-            delay = RETRY_DELAY_S if is_failure else LOST_RETRY_DELAY_S
+            delay = FAILED_RETRY_DELAY_S if is_failure else LOST_RETRY_DELAY_S
             self._requeue(step, task, 0.0 if step.spec.is_lasting else delay)
         self._mark_dirty(job)
         if not job.is_final:
             self._finish_occurrences(job)
 
-    def on_gone(
+    def on_run_gone(
         self,
         session: worker_session.WorkerSession,
         run: worker_session.Run,
@@ -246,7 +248,7 @@
     ) -> None:
         """Place a task again whose run certainly does not execute."""
         self._schedule_wanted.set()
-        self._record(
+        self._log_event(
             "run_gone",
             job=run.key.job_id,
             task=run.key.name_in_job,
@@ -254,7 +256,7 @@
             worker=session.entry.worker_id,
             reason=reason,
         )
-        found = self._find_open(run.key)
+        found = self._find_open_task(run.key)
         if found is None:
             return
         job, task = found
@@ -265,7 +267,7 @@
         self, session: worker_session.WorkerSession, listed: model.RunningTask
     ) -> worker_session.Run | None:
         """Adopt a run of a former owner if its task still needs it."""
-        found = self._find_open(listed.task)
+        found = self._find_open_task(listed.task)
         if found is None:
             return None
         job, task = found
@@ -282,7 +284,7 @@
         job.mark_started()
         return run
 
-    def _find_open(
+    def _find_open_task(
         self, key: model.TaskKey
     ) -> tuple[state.JobProgress, state.TaskState] | None:
         """Return a task and its job, or None if the job is final or lacks the task."""
@@ -324,7 +326,7 @@
         waits_for = None
         if not job.is_adopted:
             waits_for = "the store, for the record of its adoption"
-        elif job.adopted_epoch != self.epoch and not self._use.is_settled():
+        elif job.adopted_epoch != self.epoch and not self._worker_use.is_settled():
             waits_for = "workers of the former owner that do not answer"
         if not job.is_final and not job.is_lasting:
             slack_s = job.deadline - now
@@ -422,20 +424,20 @@
             return (
                 self._directory.is_loaded
                 and worker_id not in self._directory.by_id
-                and self._use.is_settled()
+                and self._worker_use.is_settled()
             )
         if not session.is_evacuating:
             session.is_evacuating = True
-            self._record("evacuate", worker=worker_id, runs=len(session.runs))
+            self._log_event("evacuate", worker=worker_id, runs=len(session.runs))
         for run in list(session.runs.values()):
             if run.spec.is_lasting:
-                self._watch.move_lasting(run, "its host is to be taken away")
+                self._run_watch.move_lasting(run, "its host is to be taken away")
             elif (
                 urgency is model.EvacuationUrgency.STOP
                 and run.status is worker_session.RunStatus.RUNNING
             ):
                 session.stop(run, "its host is to be taken away")
-        is_known = session.is_touched or loop.time() > session.lease_bound
+        is_known = session.has_answered or loop.time() > session.lease_bound
         if session.runs or not is_known:
             return False
         self._release_idle_workers()
@@ -448,15 +450,15 @@
         loop = asyncio.get_running_loop()
         await self._append([services.KeyedRecord("owner", b"%d" % self.epoch)])
         fenced_at = loop.time()
-        progress = await self._retry(
+        progress = await self._retry_read(
             lambda: self._store.list_newest(services.Topic.PROGRESS, self.partition)
         )
-        commands = await self._retry(
+        commands = await self._retry_read(
             lambda: self._store.list_newest(services.Topic.COMMANDS, self.partition)
         )
         values = {record.key: record.value for record in progress.records}
         if "workers" in values:
-            self._restore_usage(values["workers"], fenced_at)
+            self._restore_worker_use(values["workers"], fenced_at)
         specs: dict[str, bytes] = {}
         for record in commands.records:
             if record.key.startswith("j"):
@@ -474,7 +476,7 @@
                 job = state.JobProgress(spec)
                 state.restore_progress(job, value)
             except (ValueError, KeyError, TypeError, IndexError) as error:
-                telemetry.record_invalid_entry(self._record, key, error)
+                telemetry.log_invalid_entry(self._log_event, key, error)
                 continue
             self._set_deadline(job)
             self.jobs_by_id[job_id] = job
@@ -487,13 +489,13 @@
         self.is_loaded = True
         self._unsubscribe = self._directory.subscribe(self._refresh_sessions)
         self._refresh_sessions()
-        self._record(
+        self._log_event(
             "pool_loaded",
             partition=self.partition,
             epoch=self.epoch,
             jobs=len(self.jobs_by_id),
             open_jobs=len(self._active),
-            former_workers=self._use.former_count,
+            former_workers=self._worker_use.previous_worker_count,
         )
 
     async def follow_commands(self) -> None:
@@ -511,8 +513,8 @@
                 if error.code is not codes.ResultCode.STORE_HISTORY_GONE:
                     await asyncio.sleep(STORE_RETRY_S)
                     continue
-                self._record("commands_listed_anew", partition=self.partition)
-                page = await self._retry(
+                self._log_event("commands_listed_anew", partition=self.partition)
+                page = await self._retry_read(
                     lambda: self._store.list_newest(
                         services.Topic.COMMANDS, self.partition
                     )
@@ -546,19 +548,19 @@
                 services.KeyedRecord("p" + job.spec.job_id, state.encode_progress(job))
             )
         # A worker may have got a run after it was released.
-        self._use.in_use.update(
+        self._worker_use.in_use.update(
             worker_id
             for worker_id, session in self.sessions_by_id.items()
-            if session.runs and session.is_touched
+            if session.runs and session.has_answered
         )
-        is_use_due = self._use.is_due()
+        is_use_due = self._worker_use.is_due()
         if is_use_due:
-            records.append(services.KeyedRecord("workers", self._use.encode()))
+            records.append(services.KeyedRecord("workers", self._worker_use.encode()))
         finals = [job for job in dirty if job.is_final]
         if records:
             await self._append(records)
         if is_use_due:
-            self._use.note_stored()
+            self._worker_use.mark_stored()
             self._schedule_wanted.set()
         for session, number, born_ms in processed:
             if session.born_ms == born_ms:
@@ -575,14 +577,14 @@
         if has_adopted:
             self._schedule_wanted.set()
 
-    def _restore_usage(self, value: bytes, fenced_at: float) -> None:
+    def _restore_worker_use(self, value: bytes, fenced_at: float) -> None:
         """Wait for the leases of the former owner and of those before it."""
         lease_s = self._settings.lease_max_s + worker_session.LEASE_MARGIN_S
         try:
-            self._use.restore(value, fenced_at, lease_s)
+            self._worker_use.restore(value, fenced_at, lease_s)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            telemetry.record_invalid_entry(self._record, "workers", error)
-            self._use.wait_for_all(fenced_at, lease_s)
+            telemetry.log_invalid_entry(self._log_event, "workers", error)
+            self._worker_use.wait_for_all(fenced_at, lease_s)
 
     async def schedule(self) -> None:
         """Place tasks whenever something has changed."""
@@ -592,11 +594,11 @@
             self._schedule_wanted.clear()
             self._place_tasks()
 
-    async def keep_house(self) -> None:
+    async def run_housekeeping(self) -> None:
         """Follow the directory, open occurrences, drop what nobody may ask for."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(HOUSEKEEPING_S)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             self._refresh_sessions()
             self._release_idle_workers()
             now_ms = time.time() * 1000
@@ -654,7 +656,7 @@
         try:
             job = state.JobProgress(state.decode_spec(job_id, value))
         except (ValueError, KeyError, TypeError) as error:
-            telemetry.record_invalid_entry(self._record, "j" + job_id, error)
+            telemetry.log_invalid_entry(self._log_event, "j" + job_id, error)
             return
         self._set_deadline(job)
         self.jobs_by_id[job_id] = job
@@ -663,13 +665,13 @@
             rate = self._arrivals_by_pool.setdefault(
                 job.spec.pool, demand.ArrivalRate()
             )
-            rate.note(
+            rate.add(
                 job.remaining_work(self._run_times.estimate_ms),
                 asyncio.get_running_loop().time(),
             )
         if job.spec.occurrences:
             job.open_due_occurrences(time.time() * 1000)
-        self._record(
+        self._log_event(
             "job_adopted",
             job=job_id,
             queue=job.spec.queue,
@@ -698,7 +700,7 @@
 
     # Ends.
 
-    def _note_failure(
+    def _record_failure(
         self,
         session: worker_session.WorkerSession,
         job: state.JobProgress,
@@ -710,8 +712,8 @@
             return
         task.failed_runs.add(end.run)
         task.failed_on.add(session.entry.worker_id)
-        if session.note_outcome(job.spec.job_id, True):
-            self._record(
+        if session.record_outcome(job.spec.job_id, True):
+            self._log_event(
                 "worker_ejected", worker=session.entry.worker_id, reason="failures"
             )
         attempts = len(task.failed_runs)
@@ -762,7 +764,7 @@
         job.state = final
         job.final_ms = int(time.time() * 1000)
         self._active.pop(job.spec.job_id, None)
-        self._record(
+        self._log_event(
             "job_final",
             job=job.spec.job_id,
             state=final.value,
@@ -790,11 +792,12 @@
             return
         loop = asyncio.get_running_loop()
         now = loop.time()
-        is_settled = self._use.is_settled()
+        is_settled = self._worker_use.is_settled()
         usable = [
             session
             for session in self.sessions_by_id.values()
-            if session.can_take(now) and session.entry.worker_id in self._use.stored
+            if session.can_take(now)
+            and session.entry.worker_id in self._worker_use.stored
         ]
         if not usable:
             return
@@ -807,13 +810,13 @@
         ]
         estimate_ms = self._run_times.estimate_ms
         waiting.sort(key=lambda job: placement.rank(job, now, estimate_ms))
-        room_by_pool: dict[str, placement.Room] = {}
+        free_capacity_by_pool: dict[str, placement.FreeCapacity] = {}
         for pool in {job.spec.pool for job in waiting}:
-            room_by_pool[pool] = placement.Room(
+            free_capacity_by_pool[pool] = placement.FreeCapacity(
                 [session for session in usable if session.entry.pool == pool]
             )
         for job in waiting:
-            self._placer.place(job, room_by_pool[job.spec.pool], now)
+            self._placer.place(job, free_capacity_by_pool[job.spec.pool], now)
 
     # Workers.
 
@@ -831,10 +834,10 @@
                     entry,
                     self.epoch,
                     self._lease_s,
-                    self._use.former_end(entry.worker_id),
+                    self._worker_use.previous_lease_end(entry.worker_id),
                     self._workers,
                     self,
-                    self._record,
+                    self._log_event,
                 )
                 session.is_evacuating = entry.worker_id in self.evacuating
                 self.sessions_by_id[entry.worker_id] = session
@@ -848,11 +851,13 @@
                 continue
             session.is_listed = False
             is_expired = now > session.lease_bound + worker_session.LEASE_MARGIN_S
-            is_silent = now - session.last_contact > worker_session.SILENT_AFTER_S
-            if is_expired and is_silent and not session.runs:
+            is_unresponsive = (
+                now - session.last_contact > worker_session.UNRESPONSIVE_AFTER_S
+            )
+            if is_expired and is_unresponsive and not session.runs:
                 session.close()
                 del self.sessions_by_id[worker_id]
-                self._use.in_use.discard(worker_id)
+                self._worker_use.in_use.discard(worker_id)
 
     def _release_idle_workers(self) -> None:
         """Spare a next owner the wait for workers that may vanish without any run."""
@@ -861,8 +866,8 @@
             for worker_id, session in self.sessions_by_id.items()
             if session.is_released()
         }
-        if released & self._use.in_use:
-            self._use.in_use -= released
+        if released & self._worker_use.in_use:
+            self._worker_use.in_use -= released
             self._flush_wanted.set()
 
     # The store.
@@ -872,25 +877,25 @@
         try:
             await self._log.append(records)
         except errors.ClementinesparError:
-            self.lose("the store has seen a later owner")
+            self.mark_lost("the store has seen a later owner")
             await asyncio.Event().wait()  # cancelled with the partition
 
-    async def _retry(
+    async def _retry_read(
         self, call: Callable[[], Awaitable[services.RecordPage]]
     ) -> services.RecordPage:
         while True:
             try:
                 return await call()
             except errors.ClementinesparError as error:
-                self._record("read_retried", code=int(error.code))
+                self._log_event("read_retried", code=int(error.code))
             await asyncio.sleep(STORE_RETRY_S)
 
-    def lose(self, reason: str) -> None:
+    def mark_lost(self, reason: str) -> None:
         """Stop acting as the owner."""
         if self.is_lost:
             return
         self.is_lost = True
-        self._record("pool_lost", partition=self.partition, reason=reason)
+        self._log_event("pool_lost", partition=self.partition, reason=reason)
         self._on_lost(self)
 
     async def run(self) -> None:
@@ -900,7 +905,7 @@
             group.create_task(self.follow_commands())
             group.create_task(self.write_progress())
             group.create_task(self.schedule())
-            group.create_task(self.keep_house())
+            group.create_task(self.run_housekeeping())
 
     def close(self) -> None:
         """End all sessions; runs go on until their leases end or a next owner."""
--- a/clementinespar/jobs/run_watch.py
+++ b/clementinespar/jobs/run_watch.py
@@ -51,7 +51,7 @@
         step = job.find_step(run.key)
         may_miss = step.spec.may_miss
         if may_miss is not None and not run.session.entry.is_draining:
-            at_work = 0
+            working = 0
             for session in self._sessions_by_id.values():
                 for other in session.runs.values():
                     key = other.key
@@ -60,15 +60,16 @@
                         and key.step == run.key.step
                         and other.status is worker_session.RunStatus.RUNNING
                         and other.percent >= 100
-                        and now - session.last_contact < worker_session.SILENT_AFTER_S
+                        and now - session.last_contact
+                        < worker_session.UNRESPONSIVE_AFTER_S
                     ):
-                        at_work += 1
+                        working += 1
             # The run itself may have got to work since the last report.
-            away = len(step.tasks) - at_work - (run.percent < 100)
-            if away >= max(1, may_miss):
+            down = len(step.tasks) - working - (run.percent < 100)
+            if down >= max(1, may_miss):
                 return
         counts = self._placer.count_per_worker(job, step)
-        room = placement.Room(
+        free_capacity = placement.FreeCapacity(
             [
                 session
                 for session in self._sessions_by_id.values()
@@ -77,6 +78,6 @@
                 and session.entry.pool == job.spec.pool
             ]
         )
-        if room.choose(step.spec, counts, set()) is None:
+        if free_capacity.choose(step.spec, counts, set()) is None:
             return  # nowhere to go: it keeps working where it is
         run.session.stop(run, reason)
--- a/clementinespar/jobs/service.py
+++ b/clementinespar/jobs/service.py
@@ -21,35 +21,35 @@
 STORE_RETRY_S = 0.1
 # A store that has answered no call for this long is taken as away; calls to it are
 # given up after the same time. A slow store may need most of it.
-SILENT_STORE_S = 1.0
+STORE_UNAVAILABLE_S = 1.0
 
 
 class JobService:
     """Submission, state and cancellation of jobs."""
 
-    keeper: ownership.OwnershipKeeper
+    ownership_manager: ownership.OwnershipManager
     configuration: services.ConfigurationSource
     _store: services.JobStore
     _caller: http_calls.HttpCaller
     _waiting_by_queue: dict[str, tuple[float, int]]
     _sent_at: dict[str, float]  # job id: event-loop time of its append in flight
-    _lost_at: float  # event-loop time of the first append without an answer
+    _unanswered_since: float  # event-loop time of the first append without an answer
     _answered_at: float  # event-loop time of the newest answer to an append
 
     def __init__(
         self,
-        keeper: ownership.OwnershipKeeper,
+        ownership_manager: ownership.OwnershipManager,
         configuration: services.ConfigurationSource,
         store: services.JobStore,
         caller: http_calls.HttpCaller,
     ) -> None:
-        self.keeper = keeper
+        self.ownership_manager = ownership_manager
         self.configuration = configuration
         self._store = store
         self._caller = caller
         self._waiting_by_queue = {}
         self._sent_at = {}
-        self._lost_at = -math.inf
+        self._unanswered_since = -math.inf
         self._answered_at = -math.inf
 
     async def submit(
@@ -61,37 +61,37 @@
         if it may be. While the store is away the answer comes early, so that the caller
         can try another node or come back.
         """
-        if self._is_store_away():
+        if self._is_store_unavailable():
             return codes.ResultCode.STORE_REFUSED
         record = services.KeyedRecord("j" + spec.job_id, state.encode_spec(spec))
         loop = asyncio.get_running_loop()
         self._sent_at[spec.job_id] = loop.time()
-        command = asyncio.create_task(self._command(pool, record, timeout_s))
+        command = asyncio.create_task(self._append_command(pool, record, timeout_s))
         try:
             while True:
-                done, _ = await asyncio.wait({command}, timeout=SILENT_STORE_S)
+                done, _ = await asyncio.wait({command}, timeout=STORE_UNAVAILABLE_S)
                 if done:
                     return command.result()
-                if self._is_store_away():
+                if self._is_store_unavailable():
                     return codes.ResultCode.STORE_UNANSWERED
         finally:
             command.cancel()
             self._sent_at.pop(spec.job_id, None)
 
-    def _is_store_away(self) -> bool:
+    def _is_store_unavailable(self) -> bool:
         """Whether calls of this node to the store have gone without answers."""
         now = asyncio.get_running_loop().time()
         answered_at = self._store_answered_at()
-        unanswered = [self._lost_at, *self._sent_at.values()]
-        if self.keeper.unanswered_since is not None:
-            unanswered.append(self.keeper.unanswered_since)
+        unanswered = [self._unanswered_since, *self._sent_at.values()]
+        if self.ownership_manager.unanswered_since is not None:
+            unanswered.append(self.ownership_manager.unanswered_since)
         return any(
-            sent_at > answered_at and now - sent_at >= SILENT_STORE_S
+            sent_at > answered_at and now - sent_at >= STORE_UNAVAILABLE_S
             for sent_at in unanswered
         )
 
     def _store_answered_at(self) -> float:
-        reached_at = self.keeper.reached_at
+        reached_at = self.ownership_manager.reached_at
         return max(self._answered_at, -math.inf if reached_at is None else reached_at)
 
     async def cancel(
@@ -99,7 +99,7 @@
     ) -> codes.ResultCode:
         """Store a cancellation; the job's owner stops what runs."""
         record = services.KeyedRecord("c" + job_id, b"1")
-        return await self._command(pool, record, timeout_s)
+        return await self._append_command(pool, record, timeout_s)
 
     async def describe(
         self, pool: str, job_id: str, timeout_s: float
@@ -111,29 +111,29 @@
         errors.ClementinesparError
             No owner could be asked in time.
         """
-        told = await self._ask_owner(
+        reply = await self._ask_owner(
             ownership.partition_of(pool), f"/jobs/{job_id}", timeout_s
         )
-        if told["state"] is not None:
-            return model.JobState(told["state"])
+        if reply["state"] is not None:
+            return model.JobState(reply["state"])
         # A queue may have moved to another pool since the job came.
         for partition in self._other_partitions(pool):
-            told = await self._ask_owner(partition, f"/jobs/{job_id}", timeout_s)
-            if told["state"] is not None:
-                return model.JobState(told["state"])
+            reply = await self._ask_owner(partition, f"/jobs/{job_id}", timeout_s)
+            if reply["state"] is not None:
+                return model.JobState(reply["state"])
         return None
 
     async def count_waiting(self, queue: model.Queue, timeout_s: float) -> int:
         """Return the accepted jobs of a queue of which no task has started."""
         loop = asyncio.get_running_loop()
-        held = self._waiting_by_queue.get(queue.name)
-        if held is not None and loop.time() - held[0] < WAITING_MAX_AGE_S:
-            return held[1]
+        cached = self._waiting_by_queue.get(queue.name)
+        if cached is not None and loop.time() - cached[0] < WAITING_MAX_AGE_S:
+            return cached[1]
         name = urllib.parse.quote(queue.name, safe="")
-        told = await self._ask_owner(
+        reply = await self._ask_owner(
             ownership.partition_of(queue.pool), f"/waiting/{name}", timeout_s
         )
-        count = int(told["waiting"])
+        count = int(reply["waiting"])
         self._waiting_by_queue[queue.name] = (loop.time(), count)
         return count
 
@@ -146,12 +146,12 @@
     ) -> bool:
         """Ask the owner of a pool to free a worker; True once it is free."""
         name = urllib.parse.quote(worker_id, safe="")
-        told = await self._ask_owner(
+        reply = await self._ask_owner(
             ownership.partition_of(pool),
             f"/evacuate/{name}?kept_s={kept_s}&urgency={urgency.value}",
             PEER_TIMEOUT_S,
         )
-        return bool(told["is_free"])
+        return bool(reply["is_free"])
 
     async def describe_load(self, pool: str) -> dict[str, Any]:
         """Return the demand and use of a pool as its owner sees them."""
@@ -166,11 +166,11 @@
         configuration = self.configuration.current
         pools = () if configuration is None else configuration.pools_by_name
         for partition in sorted({ownership.partition_of(pool) for pool in pools}):
-            told = await self._ask_owner(
+            reply = await self._ask_owner(
                 partition, f"/explain/{job_id}", PEER_TIMEOUT_S
             )
-            if told["state"] is not None:
-                return told
+            if reply["state"] is not None:
+                return reply
         raise errors.ClementinesparError(
             codes.ResultCode.JOB_UNKNOWN, "no pool knows this job"
         )
@@ -184,7 +184,7 @@
             - {ownership.partition_of(pool)}
         )
 
-    async def _command(
+    async def _append_command(
         self, pool: str, record: services.KeyedRecord, timeout_s: float
     ) -> codes.ResultCode:
         loop = asyncio.get_running_loop()
@@ -199,8 +199,8 @@
             except errors.ClementinesparError as error:
                 if error.code is codes.ResultCode.STORE_UNANSWERED:
                     may_be_stored = True
-                    if self._lost_at <= self._store_answered_at():
-                        self._lost_at = sent_at
+                    if self._unanswered_since <= self._store_answered_at():
+                        self._unanswered_since = sent_at
             else:
                 self._answered_at = loop.time()
                 return codes.ResultCode.OK
@@ -230,9 +230,9 @@
     async def _ask_once(
         self, partition: int, path: str, is_fresh: bool
     ) -> dict[str, Any]:
-        if partition in self.keeper.owners_by_partition:
+        if partition in self.ownership_manager.owners_by_partition:
             return self.answer_peer(partition, path)
-        member = await self.keeper.find_owner(partition, is_fresh)
+        member = await self.ownership_manager.find_owner(partition, is_fresh)
         if member is None:
             raise errors.ClementinesparError(
                 codes.ResultCode.JOB_OWNER_UNKNOWN, "the partition has no owner"
@@ -246,8 +246,8 @@
                 codes.ResultCode.JOB_OWNER_UNKNOWN,
                 f"the peer answered with status {response.status}",
             )
-        told: dict[str, Any] = json.loads(response.body)
-        return told
+        reply: dict[str, Any] = json.loads(response.body)
+        return reply
 
     def answer_peer(self, partition: int, path: str) -> dict[str, Any]:
         """Answer a question as the owner of a partition.
@@ -257,7 +257,7 @@
         errors.ClementinesparError
             This node is not the owner, or has not loaded the partition.
         """
-        owner = self.keeper.owners_by_partition.get(partition)
+        owner = self.ownership_manager.owners_by_partition.get(partition)
         if owner is None or owner.is_lost or not owner.is_loaded:
             raise errors.ClementinesparError(
                 codes.ResultCode.JOB_OWNER_UNKNOWN, "this node is not the owner"
--- a/clementinespar/jobs/services.py
+++ b/clementinespar/jobs/services.py
@@ -137,9 +137,9 @@
 class Adviser(Protocol):
     """Tells which workers may run a step."""
 
-    async def advise(
+    async def request_tickets(
         self, job_id: str, occurrence: int, step: int, worker_ids: Sequence[str]
-    ) -> model.Advice:
+    ) -> model.IssuedTickets:
         """Return tickets; raises `errors.ClementinesparError` without an answer."""
         ...
 
@@ -180,7 +180,7 @@
         """Move a host to another pool; False if the platform refused."""
         ...
 
-    async def upkeep(self, host_id: str, wave: int, fence: int) -> bool:
+    async def start_maintenance(self, host_id: str, wave: int, fence: int) -> bool:
         """Take a host down for its upkeep; False if the platform refused."""
         ...
 
@@ -189,16 +189,16 @@
     """Waves that the operators ask for, and their reported state."""
 
     @property
-    def by_number(self) -> Mapping[int, model.UpkeepWave]:
+    def by_number(self) -> Mapping[int, model.MaintenanceWave]:
         """Return the waves by their number."""
         ...
 
-    async def report(self, wave: model.UpkeepWave, is_done: bool) -> None:
+    async def report(self, wave: model.MaintenanceWave, is_done: bool) -> None:
         """Tell the operators how far a wave is."""
         ...
 
 
-class JobRecorder(Protocol):
+class EventLog(Protocol):
     """Where the slice tells what changed, for logs."""
 
     def __call__(self, event: str, **fields: object) -> None:
--- a/clementinespar/jobs/state.py
+++ b/clementinespar/jobs/state.py
@@ -222,15 +222,15 @@
 
 def encode_progress(job: JobProgress) -> bytes:
     """Return the durable form of a job's progress."""
-    told: dict[str, object] = {"epoch": job.first_epoch}
+    fields: dict[str, object] = {"epoch": job.first_epoch}
     if job.is_final:
-        told["state"] = job.state.value
-        told["final_ms"] = job.final_ms
-        return json.dumps(told, separators=(",", ":")).encode()
+        fields["state"] = job.state.value
+        fields["final_ms"] = job.final_ms
+        return json.dumps(fields, separators=(",", ":")).encode()
     if job.has_started:
-        told["started"] = 1
+        fields["started"] = 1
     if job.finished_occurrences:
-        told["finished"] = job.finished_occurrences
+        fields["finished"] = job.finished_occurrences
     occurrences: dict[str, object] = {}
     for occurrence in job.occurrences.values():
         done: dict[str, str] = {}
@@ -247,36 +247,36 @@
         if done or failed or job.spec.occurrences:
             occurrences[str(occurrence.number)] = {"done": done, "failed": failed}
     if occurrences:
-        told["occurrences"] = occurrences
-    return json.dumps(told, separators=(",", ":")).encode()
+        fields["occurrences"] = occurrences
+    return json.dumps(fields, separators=(",", ":")).encode()
 
 
 def restore_progress(job: JobProgress, value: bytes) -> None:
     """Apply a stored progress to a fresh job; raises ValueError or KeyError."""
-    told = json.loads(value)
-    job.first_epoch = int(told["epoch"])
+    fields = json.loads(value)
+    job.first_epoch = int(fields["epoch"])
     job.adopted_epoch = job.first_epoch
     job.is_adopted = True
-    if "state" in told:
-        job.state = model.JobState(told["state"])
-        job.final_ms = int(told["final_ms"])
+    if "state" in fields:
+        job.state = model.JobState(fields["state"])
+        job.final_ms = int(fields["final_ms"])
         job.is_final_stored = True
         job.occurrences.clear()
         return
-    job.has_started = bool(told.get("started"))
+    job.has_started = bool(fields.get("started"))
     if job.has_started:
         job.state = model.JobState.RUNNING
-    job.finished_occurrences = int(told.get("finished", 0))
-    for name, held in told.get("occurrences", {}).items():
+    job.finished_occurrences = int(fields.get("finished", 0))
+    for name, occurrence_fields in fields.get("occurrences", {}).items():
         number = int(name)
         occurrence = job.occurrences.setdefault(number, Occurrence(job.spec, number))
-        for step_name, mask_text in held["done"].items():
+        for step_name, mask_text in occurrence_fields["done"].items():
             step = occurrence.steps[int(step_name)]
             mask = int(mask_text, 16)
             for index, task in enumerate(step.tasks):
                 if mask >> index & 1:
                     mark_done(step, task)
-        for task_name, runs in held["failed"].items():
+        for task_name, runs in occurrence_fields["failed"].items():
             step_name, _, index_name = task_name.partition(".")
             task = occurrence.steps[int(step_name)].tasks[int(index_name)]
             task.failed_runs.update(runs)
@@ -294,33 +294,33 @@
     """Return the durable form of a job as submitted."""
     steps = []
     for step in spec.steps:
-        told: dict[str, object] = {}
+        fields: dict[str, object] = {}
         for name in model.StepSpec.__slots__:
             value = getattr(step, name)
             if value or value is not None and name == "may_miss":
-                told[name] = value
-        steps.append(told)
-    told_job: dict[str, object] = {"steps": steps}
+                fields[name] = value
+        steps.append(fields)
+    job_fields: dict[str, object] = {"steps": steps}
     for name in model.JobSpec.__slots__:
         value = getattr(spec, name)
         if name not in ("steps", "job_id") and value:
-            told_job[name] = value
-    return json.dumps(told_job, separators=(",", ":")).encode()
+            job_fields[name] = value
+    return json.dumps(job_fields, separators=(",", ":")).encode()
 
 
 def decode_spec(job_id: str, value: bytes) -> model.JobSpec:
     """Return the job of a durable form; raises ValueError, KeyError or TypeError."""
-    told = json.loads(value)
+    fields = json.loads(value)
     steps = tuple(
         model.StepSpec(**{**step, "after": tuple(step.get("after", ()))})
-        for step in told.pop("steps")
+        for step in fields.pop("steps")
     )
     return model.JobSpec(
         **{
             "queue": "",
             "pool": "",
             "payload": "",
-            **told,
+            **fields,
             "job_id": job_id,
             "steps": steps,
         }
--- a/clementinespar/jobs/task_placer.py
+++ b/clementinespar/jobs/task_placer.py
@@ -18,52 +18,54 @@
 
     _epoch: int
     _sessions_by_id: dict[str, worker_session.WorkerSession]
-    _tickets: advice.TicketBook
-    _record: services.JobRecorder
+    _tickets: advice.TicketCache
+    _log_event: services.EventLog
     _metrics: telemetry.JobMetrics
 
     def __init__(
         self,
         epoch: int,
         sessions_by_id: dict[str, worker_session.WorkerSession],
-        tickets: advice.TicketBook,
-        record: services.JobRecorder,
+        tickets: advice.TicketCache,
+        log_event: services.EventLog,
         metrics: telemetry.JobMetrics,
     ) -> None:
         self._epoch = epoch
         self._sessions_by_id = sessions_by_id
         self._tickets = tickets
-        self._record = record
+        self._log_event = log_event
         self._metrics = metrics
 
-    def place(self, job: state.JobProgress, room: placement.Room, now: float) -> None:
+    def place(
+        self, job: state.JobProgress, free_capacity: placement.FreeCapacity, now: float
+    ) -> None:
         """Start the tasks of a job whose turn has come, as far as there is room."""
-        if not room.has_any():
+        if not free_capacity.has_any():
             return
         for occurrence in job.occurrences.values():
             for step in occurrence.ready_steps():
-                self._place_step(job, step, room, now)
+                self._place_step(job, step, free_capacity, now)
 
     def _place_step(
         self,
         job: state.JobProgress,
         step: state.StepState,
-        room: placement.Room,
+        free_capacity: placement.FreeCapacity,
         now: float,
     ) -> None:
         tickets: dict[str, str] = {}
         if job.spec.needs_advice:
-            tickets = self._tickets.usable(step, room.worker_ids())
-            room = room.restrict(tickets)
+            tickets = self._tickets.find_valid(step, free_capacity.worker_ids())
+            free_capacity = free_capacity.restrict(tickets)
         if step.spec.is_gang:
-            self._place_gang(job, step, room, tickets, now)
+            self._place_gang(job, step, free_capacity, tickets, now)
             return
         counts = self.count_per_worker(job, step)
         for index in sorted(step.waiting):
             task = step.tasks[index]
             if task.not_before > now:
                 continue
-            session = room.choose(step.spec, counts, task.failed_on)
+            session = free_capacity.choose(step.spec, counts, task.failed_on)
             if session is None:
                 if not task.failed_on:
                     break
@@ -77,7 +79,7 @@
         self,
         job: state.JobProgress,
         step: state.StepState,
-        room: placement.Room,
+        free_capacity: placement.FreeCapacity,
         tickets: dict[str, str],
         now: float,
     ) -> None:
@@ -86,7 +88,7 @@
             task.not_before > now for task in step.tasks
         ):
             return
-        chosen = room.choose_gang(step.spec, len(step.tasks))
+        chosen = free_capacity.choose_gang(step.spec, len(step.tasks))
         if chosen is None:
             return
         number = max(job.next_run(task, self._epoch) for task in step.tasks)
@@ -132,7 +134,7 @@
         session.add_run(run)
         job.mark_started()
         self._metrics.count_start()
-        self._record(
+        self._log_event(
             "start",
             job=job.spec.job_id,
             task=task.key.name_in_job,
--- a/clementinespar/jobs/telemetry.py
+++ b/clementinespar/jobs/telemetry.py
@@ -16,11 +16,9 @@
 _JOB_SECONDS = (0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 5.0, 8.0, 15.0, 30.0)
 
 
-def record_invalid_entry(
-    record: services.JobRecorder, key: str, error: Exception
-) -> None:
+def log_invalid_entry(log_event: services.EventLog, key: str, error: Exception) -> None:
     """Note an entry of the store that cannot be read; the rest goes on."""
-    record(
+    log_event(
         "entry_invalid",
         code=int(codes.ResultCode.ENTRY_INVALID),
         key=key,
@@ -94,7 +92,7 @@
         return prometheus_client.generate_latest(self.registry)
 
 
-class DecisionLog:
+class JsonEventLog:
     """Writes one JSON line for each decision and never blocks.
 
     Lines above the rate are dropped; the next line tells how many.
--- a/clementinespar/jobs/tests/fakes.py
+++ b/clementinespar/jobs/tests/fakes.py
@@ -17,11 +17,11 @@
     """Drop a decision."""
 
 
-SILENT_CALL_S = 1.0  # a call without an answer is given up after this long
+CALL_TIMEOUT_S = 1.0  # a call without an answer is given up after this long
 
 
-async def _lose_call() -> None:
-    await asyncio.sleep(SILENT_CALL_S)
+async def _time_out_call() -> None:
+    await asyncio.sleep(CALL_TIMEOUT_S)
     raise errors.ClementinesparError(codes.ResultCode.STORE_UNANSWERED, "silent")
 
 
@@ -30,13 +30,13 @@
 
     is_down: bool
     loses_answers: bool  # what is asked is done, and no answer comes
-    is_silent: bool  # nothing is done, and no answer comes
+    drops_calls: bool  # nothing is done, and no answer comes
     values: dict[tuple[services.Topic, int], dict[str, bytes]]
 
     def __init__(self) -> None:
         self.is_down = False
         self.loses_answers = False
-        self.is_silent = False
+        self.drops_calls = False
         self.values = collections.defaultdict(dict)
         self._log: dict[tuple[services.Topic, int], list[services.KeyedRecord]] = (
             collections.defaultdict(list)
@@ -59,8 +59,8 @@
     ) -> None:
         await asyncio.sleep(0.003)
         self._check()
-        if self.is_silent:
-            await _lose_call()
+        if self.drops_calls:
+            await _time_out_call()
         self._apply(topic, partition, records)
         self._check_answer()
 
@@ -73,13 +73,13 @@
     ) -> None:
         await asyncio.sleep(0.003)
         self._check()
-        held_epoch, held_sequence = self._fences.get(partition, (0, -1))
-        if epoch < held_epoch:
+        stored_epoch, stored_sequence = self._fences.get(partition, (0, -1))
+        if epoch < stored_epoch:
             raise errors.ClementinesparError(codes.ResultCode.STORE_FENCED, "epoch")
-        if epoch > held_epoch or sequence == held_sequence + 1:
+        if epoch > stored_epoch or sequence == stored_sequence + 1:
             self._fences[partition] = (epoch, sequence)
             self._apply(services.Topic.PROGRESS, partition, records)
-        elif sequence > held_sequence + 1:
+        elif sequence > stored_sequence + 1:
             raise errors.ClementinesparError(codes.ResultCode.STORE_FENCED, "sequence")
         self._check_answer()
 
@@ -136,10 +136,10 @@
     ended: list[model.EndedTask] = dataclasses.field(default_factory=list)
     ended_runs: dict[model.TaskKey, int] = dataclasses.field(default_factory=dict)
     next_number: int = 1
-    is_silent: bool = False  # it runs on and answers nothing
-    is_deaf_to_answers: bool = False  # orders arrive, answers do not
+    is_unresponsive: bool = False  # it runs on and answers nothing
+    loses_answers: bool = False  # orders arrive, answers do not
     end_kind: model.EndKind = model.EndKind.DONE
-    keeps_ends: bool = False  # acknowledgements never arrive
+    loses_acknowledgements: bool = False  # acknowledgements never arrive
 
 
 class FakeWorkers:
@@ -205,40 +205,40 @@
         await asyncio.sleep(0.002)
         worker = self.workers[worker_id]
         self.advance(worker)
-        if worker.is_silent:
+        if worker.is_unresponsive:
             await asyncio.sleep(0.5)
             raise http_calls.CallUnansweredError("silent")
         return worker
 
     def _check_answer(self, worker: FakeWorker) -> None:
-        if worker.is_deaf_to_answers:
+        if worker.loses_answers:
             raise http_calls.CallUnansweredError("the answer was lost")
 
     async def start(
         self, worker: model.WorkerEntry, order: model.StartOrder
     ) -> model.StartAnswer:
-        held = await self._reach(worker.worker_id)
+        fake = await self._reach(worker.worker_id)
         now = asyncio.get_running_loop().time()
         clock_ms = int(now * 1000)
-        if order.fence < held.fence:
+        if order.fence < fake.fence:
             return model.StartAnswer(model.StartResult.FENCED, clock_ms)
-        held.fence = order.fence
-        held.lease_until_ms = max(held.lease_until_ms, order.lease_until_ms)
+        fake.fence = order.fence
+        fake.lease_until_ms = max(fake.lease_until_ms, order.lease_until_ms)
         if order.lease_until_ms <= clock_ms:
             return model.StartAnswer(model.StartResult.LEASE_LATE, clock_ms)
-        if order.run <= held.ended_runs.get(order.task, 0):
+        if order.run <= fake.ended_runs.get(order.task, 0):
             return model.StartAnswer(model.StartResult.STALE_RUN, clock_ms)
-        if order.task not in held.running:
-            self._note_start(held, order.task, order.run)
+        if order.task not in fake.running:
+            self._record_start(fake, order.task, order.run)
             lasts = order.task.job_id in self.lasting_jobs
-            held.running[order.task] = (
+            fake.running[order.task] = (
                 order.run,
                 float("inf") if lasts else now + self.task_s,
             )
-        self._check_answer(held)
+        self._check_answer(fake)
         return model.StartAnswer(model.StartResult.STARTED, clock_ms)
 
-    def _note_start(self, held: FakeWorker, task: model.TaskKey, run: int) -> None:
+    def _record_start(self, fake: FakeWorker, task: model.TaskKey, run: int) -> None:
         for other in self.workers.values():
             self.advance(other)
             if task in other.running:
@@ -247,24 +247,24 @@
             self.violations.append(f"{task} starts after its end was acknowledged")
         used = sum(
             self.cpu_by_step.get((key.job_id, key.step), 0)
-            for key in (*held.running, task)
+            for key in (*fake.running, task)
         )
-        if used > held.entry.cpu_millis:
-            self.violations.append(f"{held.entry.worker_id} is over its capacity")
-        self.starts.append((task, run, held.entry.worker_id))
+        if used > fake.entry.cpu_millis:
+            self.violations.append(f"{fake.entry.worker_id} is over its capacity")
+        self.starts.append((task, run, fake.entry.worker_id))
 
     async def stop(
         self, worker: model.WorkerEntry, task: model.TaskKey, run: int, fence: int
     ) -> bool:
-        held = await self._reach(worker.worker_id)
-        if fence < held.fence:
+        fake = await self._reach(worker.worker_id)
+        if fence < fake.fence:
             return False
-        held.fence = fence
-        running = held.running.get(task)
+        fake.fence = fence
+        running = fake.running.get(task)
         if running is not None and running[0] == run:
-            self._end(held, task, run, model.EndKind.STOPPED)
-        held.ended_runs[task] = max(run, held.ended_runs.get(task, 0))
-        self._check_answer(held)
+            self._end(fake, task, run, model.EndKind.STOPPED)
+        fake.ended_runs[task] = max(run, fake.ended_runs.get(task, 0))
+        self._check_answer(fake)
         return True
 
     async def renew(
@@ -275,39 +275,39 @@
         lease_until_ms: int | None,
         wait_ms: int,
     ) -> model.WorkerReport | None:
-        held = await self._reach(worker.worker_id)
-        if fence < held.fence:
+        fake = await self._reach(worker.worker_id)
+        if fence < fake.fence:
             return None
-        held.fence = fence
+        fake.fence = fence
         if lease_until_ms is not None:
-            held.lease_until_ms = max(held.lease_until_ms, lease_until_ms)
-        for end in held.ended:
+            fake.lease_until_ms = max(fake.lease_until_ms, lease_until_ms)
+        for end in fake.ended:
             if end.number <= acknowledged and end.kind is model.EndKind.DONE:
                 self.done_acknowledged.add(end.task)
-        if not held.keeps_ends:
-            held.ended = [end for end in held.ended if end.number > acknowledged]
+        if not fake.loses_acknowledgements:
+            fake.ended = [end for end in fake.ended if end.number > acknowledged]
         waited = 0
-        newest = held.next_number
-        while held.next_number == newest and waited < wait_ms:
+        newest = fake.next_number
+        while fake.next_number == newest and waited < wait_ms:
             await asyncio.sleep(0.02)
             waited += 20
-            if self.workers[worker.worker_id] is not held:
+            if self.workers[worker.worker_id] is not fake:
                 raise http_calls.CallUnansweredError("the worker crashed")
-            self.advance(held)
-        if held.is_silent or held.is_deaf_to_answers:
+            self.advance(fake)
+        if fake.is_unresponsive or fake.loses_answers:
             raise http_calls.CallUnansweredError("silent")
         now = asyncio.get_running_loop().time()
         return model.WorkerReport(
             int(now * 1000),
-            held.born_ms,
+            fake.born_ms,
             [
                 # The progress changes with time, so no run looks stuck.
                 model.RunningTask(task, run, "", int(now * 10) % 100, 0)
                 if task.job_id not in self.lasting_jobs
                 else model.RunningTask(task, run, "", 100, 0)
-                for task, (run, _) in held.running.items()
+                for task, (run, _) in fake.running.items()
             ],
-            list(held.ended),
+            list(fake.ended),
         )
 
     async def pace(
@@ -324,26 +324,28 @@
 class FakeAdviser:
     """`services.Adviser` that allows some workers and may refuse calls."""
 
-    good: set[str]
+    allowed_ids: set[str]
     is_busy: bool
     calls: int
 
     def __init__(self) -> None:
-        self.good = set()
+        self.allowed_ids = set()
         self.is_busy = False
         self.calls = 0
 
-    async def advise(
+    async def request_tickets(
         self, job_id: str, occurrence: int, step: int, worker_ids: Sequence[str]
-    ) -> model.Advice:
+    ) -> model.IssuedTickets:
         await asyncio.sleep(0.02)
         self.calls += 1
         if self.is_busy:
             raise errors.ClementinesparError(
                 codes.ResultCode.PLATFORM_UNAVAILABLE, "busy"
             )
-        good = self.good.intersection(worker_ids)
-        return model.Advice({worker_id: f"t-{worker_id}" for worker_id in good}, 3.0)
+        allowed_ids = self.allowed_ids.intersection(worker_ids)
+        return model.IssuedTickets(
+            {worker_id: f"t-{worker_id}" for worker_id in allowed_ids}, 3.0
+        )
 
 
 class FakeGroup:
@@ -351,27 +353,27 @@
 
     assignment: services.Assignment
     is_down: bool
-    is_silent: bool
+    drops_calls: bool
     owners: dict[int, str]
 
     def __init__(self, partitions: frozenset[int], generation: int = 1) -> None:
         self.assignment = services.Assignment(generation, partitions)
         self.is_down = False
-        self.is_silent = False
+        self.drops_calls = False
         self.owners = {}
 
     async def join(self, generation: int) -> services.Assignment:
         await asyncio.sleep(0.002)
         if self.is_down:
             raise errors.ClementinesparError(codes.ResultCode.STORE_REFUSED, "down")
-        if self.is_silent:
-            await _lose_call()
+        if self.drops_calls:
+            await _time_out_call()
         return self.assignment
 
     async def leave(self) -> None:
         """Do nothing; the test tells the next assignment."""
 
     async def list_owners(self) -> Mapping[int, str]:
-        if self.is_silent:
-            await _lose_call()
+        if self.drops_calls:
+            await _time_out_call()
         return self.owners
--- a/clementinespar/jobs/tests/helpers.py
+++ b/clementinespar/jobs/tests/helpers.py
@@ -42,7 +42,7 @@
     )
 
 
-class OwnerBench:
+class OwnerHarness:
     """A store, workers, and one owner after another."""
 
     store: fakes.FakeStore
@@ -125,8 +125,8 @@
 
 
 @contextlib.asynccontextmanager
-async def run_owner(bench: OwnerBench) -> AsyncIterator[pool_owner.PoolOwner]:
+async def run_owner(harness: OwnerHarness) -> AsyncIterator[pool_owner.PoolOwner]:
     """Run the next owner while the context is entered."""
-    owner = bench.make_owner()
+    owner = harness.make_owner()
     async with pool_owner.own_partition(owner):
         yield owner
--- a/clementinespar/jobs/tests/test_capacity.py
+++ b/clementinespar/jobs/tests/test_capacity.py
@@ -17,7 +17,7 @@
     return capacity.PoolView("spare", True, 16.0, hosts, movable=movable)
 
 
-def test_pool_keeps_its_home_size_before_its_turn() -> None:
+def test_pool_keeps_its_home_size_before_its_peak() -> None:
     """Guards against an idle pool that has no hosts when its peak begins."""
     assert not capacity.plan_moves([make_view("a"), make_spare(4)], {}, 0.0)
 
@@ -47,32 +47,32 @@
     assert not capacity.plan_moves([view, make_spare(8)], {}, 0.0)
 
 
-def run_turn(turns: dict[str, capacity.TurnState], name: str, start: float) -> None:
+def run_peak(peaks: dict[str, capacity.PeakState], name: str, start: float) -> None:
     """Let a pool have its peak and its end."""
-    capacity.plan_moves([make_view(name, used_cores=100.0, movable=[])], turns, start)
+    capacity.plan_moves([make_view(name, used_cores=100.0, movable=[])], peaks, start)
     for second in (1.0, 3.0):
-        capacity.plan_moves([make_view(name, movable=[])], turns, start + second)
+        capacity.plan_moves([make_view(name, movable=[])], peaks, start + second)
 
 
-def test_idle_hosts_rest_after_the_turn() -> None:
+def test_idle_hosts_move_to_the_spare_pool_after_the_peak() -> None:
     """Guards against hosts that are paid for while nothing runs there."""
-    turns = {"a": capacity.TurnState(8), "b": capacity.TurnState(8)}
-    run_turn(turns, "a", 10.0)
+    peaks = {"a": capacity.PeakState(8), "b": capacity.PeakState(8)}
+    run_peak(peaks, "a", 10.0)
     moves = capacity.plan_moves(
-        [make_view("a"), make_view("b"), make_spare(0)], turns, 20.0
+        [make_view("a"), make_view("b"), make_spare(0)], peaks, 20.0
     )
     assert {(move.source, move.destination) for move in moves} == {("a", "spare")}
     assert len(moves) == 7
 
 
-def test_first_pool_gets_its_home_size_back_when_all_had_their_turn() -> None:
+def test_first_pool_gets_its_home_size_back_when_all_had_their_peak() -> None:
     """Guards against a second cycle that meets pools without hosts."""
-    turns = {"a": capacity.TurnState(8), "b": capacity.TurnState(8)}
-    run_turn(turns, "a", 10.0)
-    run_turn(turns, "b", 20.0)
-    capacity.update_resting(turns)
-    assert not turns["a"].is_resting
-    assert turns["b"].is_resting
+    peaks = {"a": capacity.PeakState(8), "b": capacity.PeakState(8)}
+    run_peak(peaks, "a", 10.0)
+    run_peak(peaks, "b", 20.0)
+    capacity.update_resting(peaks)
+    assert not peaks["a"].is_resting
+    assert peaks["b"].is_resting
 
 
 @pytest.mark.parametrize(
@@ -85,35 +85,35 @@
         ([80.0, 20.0, 60.0, 20.0], True),
     ],
 )
-def test_turns(uses: list[float], is_peaking: bool) -> None:
+def test_peak_detection(uses: list[float], is_peaking: bool) -> None:
     """Guards against moves on every short change of demand."""
-    turn = capacity.TurnState(8)
+    peak = capacity.PeakState(8)
     for second, used in enumerate(uses):
         view = make_view("a", used_cores=used)
-        capacity.update_turn(turn, view, float(second))
-    assert turn.is_peaking is is_peaking
+        capacity.update_peak(peak, view, float(second))
+    assert peak.is_peaking is is_peaking
 
 
-def test_idle_hosts_are_lent_before_the_own_turn() -> None:
+def test_idle_hosts_are_lent_before_the_own_peak() -> None:
     """Guards against work that is late beside idle hosts of another pool."""
-    peak = make_view(
+    peaking_view = make_view(
         "a", used_cores=128.0, waiting_cores=90.0, arriving_cores=260.0, movable=[]
     )
-    moves = capacity.plan_moves([peak, make_view("b"), make_spare(0)], {}, 0.0)
+    moves = capacity.plan_moves([peaking_view, make_view("b"), make_spare(0)], {}, 0.0)
     assert {(move.source, move.destination) for move in moves} == {("b", "a")}
     assert len(moves) == 4  # half of the home size stays
 
 
 def test_idle_hosts_are_lent_at_the_end_of_a_peak() -> None:
     """Guards against hosts that idle until a turn is certainly over."""
-    turns = {"a": capacity.TurnState(8), "b": capacity.TurnState(8)}
-    capacity.plan_moves([make_view("a", used_cores=100.0, movable=[])], turns, 0.0)
-    ending = make_view("a", hosts=12, used_cores=50.0)
-    peak = make_view(
+    peaks = {"a": capacity.PeakState(8), "b": capacity.PeakState(8)}
+    capacity.plan_moves([make_view("a", used_cores=100.0, movable=[])], peaks, 0.0)
+    ending_view = make_view("a", hosts=12, used_cores=50.0)
+    peaking_view = make_view(
         "b", used_cores=128.0, waiting_cores=90.0, arriving_cores=260.0, movable=[]
     )
-    moves = capacity.plan_moves([ending, peak, make_spare(0)], turns, 0.4)
-    assert turns["a"].is_peaking
+    moves = capacity.plan_moves([ending_view, peaking_view, make_spare(0)], peaks, 0.4)
+    assert peaks["a"].is_peaking
     assert {(move.source, move.destination) for move in moves} == {("a", "b")}
 
 
@@ -126,13 +126,15 @@
     assert not capacity.plan_moves([*views, make_spare(0)], {}, 0.0)
 
 
-def test_need_is_held_between_uneven_arrivals() -> None:
+def test_need_is_kept_between_uneven_arrivals() -> None:
     """Guards against hosts that leave a peak during a short gap."""
-    turns = {"a": capacity.TurnState(8)}
+    peaks = {"a": capacity.PeakState(8)}
     busy = make_view(
         "a", hosts=12, used_cores=180.0, arriving_cores=180.0, movable=["a-1"]
     )
     gap = make_view("a", hosts=12, used_cores=100.0, movable=["a-1", "a-2"])
-    assert not capacity.plan_moves([busy, make_spare(0)], turns, 0.0)
-    assert not capacity.plan_moves([gap, make_spare(0)], turns, 1.0)
-    assert capacity.plan_moves([gap, make_spare(0)], turns, 1.0 + capacity.HOLD_S)
+    assert not capacity.plan_moves([busy, make_spare(0)], peaks, 0.0)
+    assert not capacity.plan_moves([gap, make_spare(0)], peaks, 1.0)
+    assert capacity.plan_moves(
+        [gap, make_spare(0)], peaks, 1.0 + capacity.NEED_WINDOW_S
+    )
--- a/clementinespar/jobs/tests/test_owner_machine.py
+++ b/clementinespar/jobs/tests/test_owner_machine.py
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.loop = paused_clock.PausedClockLoop()
-        self.bench = helpers.OwnerBench(fakes.FakeWorkers(WORKERS))
+        self.harness = helpers.OwnerHarness(fakes.FakeWorkers(WORKERS))
         self.count = 0
         self.owner: pool_owner.PoolOwner | None = None
         self.tasks: list[asyncio.Task[None]] = []
@@ -45,11 +45,11 @@
         self.count += 1
         count = min(count, WORKERS) if lasts else count
         spec = helpers.make_spec(f"job{self.count}", count, 900, is_lasting=lasts)
-        self.call(self.bench.submit(spec))
+        self.call(self.harness.submit(spec))
 
     @stateful.rule(number=strategies.integers(1, 20))
     def cancel(self, number: int) -> None:
-        self.call(self.bench.cancel(f"job{number}"))
+        self.call(self.harness.cancel(f"job{number}"))
 
     @stateful.rule(seconds=strategies.sampled_from([0.05, 0.4, 2.0, 8.0]))
     def wait(self, seconds: float) -> None:
@@ -61,44 +61,44 @@
 
         The former owner has its last confirmation from the moment of the change.
         """
-        former, former_tasks = self.owner, self.tasks
-        self.bench.freeze_confirmation(self.loop.time())
+        previous, previous_tasks = self.owner, self.tasks
+        self.harness.freeze_confirmation(self.loop.time())
 
         async def start() -> None:
-            self.owner = self.bench.make_owner()
+            self.owner = self.harness.make_owner()
             self.tasks = [asyncio.ensure_future(self.owner.run())]
 
-        if is_planned and former is not None:
-            for task in former_tasks:
+        if is_planned and previous is not None:
+            for task in previous_tasks:
                 task.cancel()
-            former.close()
+            previous.close()
         self.loop.run_until_complete(start())
 
     @stateful.rule(number=strategies.integers(0, WORKERS - 1))
-    def toggle_silence(self, number: int) -> None:
-        worker = self.bench.workers.workers[f"quotes-{number}"]
-        worker.is_silent = not worker.is_silent
+    def toggle_unresponsive(self, number: int) -> None:
+        worker = self.harness.workers.workers[f"quotes-{number}"]
+        worker.is_unresponsive = not worker.is_unresponsive
 
     @stateful.rule(number=strategies.integers(0, WORKERS - 1))
     def toggle_lost_answers(self, number: int) -> None:
-        worker = self.bench.workers.workers[f"quotes-{number}"]
-        worker.is_deaf_to_answers = not worker.is_deaf_to_answers
+        worker = self.harness.workers.workers[f"quotes-{number}"]
+        worker.loses_answers = not worker.loses_answers
 
     @stateful.rule(number=strategies.integers(0, WORKERS - 1))
     def crash_worker(self, number: int) -> None:
-        self.bench.workers.crash(f"quotes-{number}")
+        self.harness.workers.crash(f"quotes-{number}")
 
     @stateful.rule(is_down=strategies.booleans())
     def set_store(self, is_down: bool) -> None:
-        self.bench.store.is_down = is_down
+        self.harness.store.is_down = is_down
 
     @stateful.rule(is_lossy=strategies.booleans())
     def set_lost_store_answers(self, is_lossy: bool) -> None:
-        self.bench.store.loses_answers = is_lossy and not self.bench.store.is_down
+        self.harness.store.loses_answers = is_lossy and not self.harness.store.is_down
 
     @stateful.invariant()
     def no_violation(self) -> None:
-        assert not self.bench.workers.violations
+        assert not self.harness.workers.violations
 
     def teardown(self) -> None:
         for task in asyncio.all_tasks(self.loop):
--- a/clementinespar/jobs/tests/test_ownership.py
+++ b/clementinespar/jobs/tests/test_ownership.py
@@ -13,29 +13,29 @@
 
 
 @dataclasses.dataclass
-class Holder:
+class FakeFleetOwner:
     """A holder of orders to hosts."""
 
     epoch: int
     is_lost: bool = False
 
 
-class KeeperBench:
+class ManagerHarness:
     """A keeper on a group whose assignments the test sets."""
 
-    keeper: ownership.OwnershipKeeper
+    ownership_manager: ownership.OwnershipManager
 
     def __init__(self, partitions: frozenset[int]) -> None:
         self.group = fakes.FakeGroup(partitions)
         self.store = fakes.FakeStore()
         self.workers = fakes.FakeWorkers(1)
         self.epochs: list[int] = []
-        self.holders: list[Holder] = []
-        self.open_holders = 0
-        self.keeper = ownership.OwnershipKeeper(
+        self.fleet_owners: list[FakeFleetOwner] = []
+        self.open_fleet_owners = 0
+        self.ownership_manager = ownership.OwnershipManager(
             self.group,
             self.make_owner,
-            self.hold_fleet,
+            self.own_fleet,
             lambda: frozenset({PARTITION}),
             1_000,
             fakes.ignore_event,
@@ -48,7 +48,7 @@
             partition,
             epoch,
             lambda pool: True,
-            self.keeper.confirmed_at,
+            self.ownership_manager.confirmed_at,
             lambda owner: None,
             self.store,
             self.workers,
@@ -60,15 +60,15 @@
         )
 
     @contextlib.asynccontextmanager
-    async def hold_fleet(self, epoch: int) -> AsyncIterator[Holder]:
+    async def own_fleet(self, epoch: int) -> AsyncIterator[FakeFleetOwner]:
         """Count the holders that are open at once."""
-        holder = Holder(epoch)
-        self.holders.append(holder)
-        self.open_holders += 1
+        fleet_owner = FakeFleetOwner(epoch)
+        self.fleet_owners.append(fleet_owner)
+        self.open_fleet_owners += 1
         try:
-            yield holder
+            yield fleet_owner
         finally:
-            self.open_holders -= 1
+            self.open_fleet_owners -= 1
 
     def assign(self, generation: int, *partitions: int) -> None:
         """Set what the next join returns."""
@@ -78,79 +78,79 @@
 @paused_clock.test
 async def test_epoch_stays_while_the_partition_stays() -> None:
     """Guards against a pool that is read anew whenever another node comes or goes."""
-    bench = KeeperBench(frozenset({PARTITION}))
-    async with ownership.keep_ownership(bench.keeper):
+    harness = ManagerHarness(frozenset({PARTITION}))
+    async with ownership.run_ownership_manager(harness.ownership_manager):
         await asyncio.sleep(3.0)
-        bench.assign(5, PARTITION, 7)
+        harness.assign(5, PARTITION, 7)
         await asyncio.sleep(1.0)
-        assert bench.epochs == [1]
-        bench.assign(6)
+        assert harness.epochs == [1]
+        harness.assign(6)
         await asyncio.sleep(1.0)
-        assert not bench.keeper.owners_by_partition
-        bench.assign(7, PARTITION)
+        assert not harness.ownership_manager.owners_by_partition
+        harness.assign(7, PARTITION)
         await asyncio.sleep(1.0)
-        assert bench.epochs == [1, 7]
+        assert harness.epochs == [1, 7]
 
 
 @paused_clock.test
 async def test_fenced_owner_waits_for_a_later_generation() -> None:
     """Guards against two owners that act under one epoch."""
-    bench = KeeperBench(frozenset({PARTITION}))
-    async with ownership.keep_ownership(bench.keeper):
+    harness = ManagerHarness(frozenset({PARTITION}))
+    async with ownership.run_ownership_manager(harness.ownership_manager):
         await asyncio.sleep(3.0)
-        bench.keeper.owners_by_partition[PARTITION].lose("a test")
+        harness.ownership_manager.owners_by_partition[PARTITION].mark_lost("a test")
         await asyncio.sleep(1.0)
-        assert bench.epochs == [1]
-        bench.assign(4, PARTITION)
+        assert harness.epochs == [1]
+        harness.assign(4, PARTITION)
         await asyncio.sleep(1.0)
-        assert bench.epochs == [1, 4]
+        assert harness.epochs == [1, 4]
 
 
 @paused_clock.test
-async def test_fenced_fleet_holder_comes_back_with_a_later_generation() -> None:
+async def test_fenced_fleet_owner_comes_back_with_a_later_generation() -> None:
     """Guards against waves that stand still after the store dealt partitions anew."""
-    bench = KeeperBench(frozenset({ownership.FLEET_PARTITION}))
-    async with ownership.keep_ownership(bench.keeper):
+    harness = ManagerHarness(frozenset({ownership.FLEET_PARTITION}))
+    async with ownership.run_ownership_manager(harness.ownership_manager):
         await asyncio.sleep(3.0)
-        bench.holders[0].is_lost = True
+        harness.fleet_owners[0].is_lost = True
         await asyncio.sleep(1.0)
-        assert bench.open_holders == 0
-        bench.assign(3, ownership.FLEET_PARTITION)
+        assert harness.open_fleet_owners == 0
+        harness.assign(3, ownership.FLEET_PARTITION)
         await asyncio.sleep(1.0)
-        assert [holder.epoch for holder in bench.holders] == [1, 3]
-        assert bench.open_holders == 1
-    assert bench.open_holders == 0
+        assert [fleet_owner.epoch for fleet_owner in harness.fleet_owners] == [1, 3]
+        assert harness.open_fleet_owners == 1
+    assert harness.open_fleet_owners == 0
 
 
 @paused_clock.test
 async def test_confirmation_counts_from_before_the_call() -> None:
     """Guards against leases that outlive what the store has confirmed."""
-    bench = KeeperBench(frozenset({PARTITION}))
-    async with ownership.keep_ownership(bench.keeper):
+    harness = ManagerHarness(frozenset({PARTITION}))
+    async with ownership.run_ownership_manager(harness.ownership_manager):
         await asyncio.sleep(3.0)
-        bench.group.is_down = True
+        harness.group.is_down = True
         await asyncio.sleep(0.5)
-        held = bench.keeper.confirmed_at()
+        confirmed_at = harness.ownership_manager.confirmed_at()
         await asyncio.sleep(3.0)
-        assert bench.keeper.confirmed_at() == held
+        assert harness.ownership_manager.confirmed_at() == confirmed_at
 
 
 @paused_clock.test
 async def test_small_node_owns_nothing_while_larger_ones_do() -> None:
     """Guards against a busy pool on a machine with half a core."""
-    bench = KeeperBench(frozenset({PARTITION}))
-    bench.group.owners = {
+    harness = ManagerHarness(frozenset({PARTITION}))
+    harness.group.owners = {
         number: ownership.format_member(f"10.0.0.{number}:1", 5, 2_000)
         for number in range(3)
     }
-    async with ownership.keep_ownership(bench.keeper):
+    async with ownership.run_ownership_manager(harness.ownership_manager):
         await asyncio.sleep(5.0)
-        assert not bench.epochs  # it never owned the pool, not even for a moment
-        assert not bench.keeper.owners_by_partition
-        assert bench.keeper.reached_at is not None
-        del bench.group.owners[1]
+        assert not harness.epochs  # it never owned the pool, not even for a moment
+        assert not harness.ownership_manager.owners_by_partition
+        assert harness.ownership_manager.reached_at is not None
+        del harness.group.owners[1]
         await asyncio.sleep(3.0)
-        assert PARTITION in bench.keeper.owners_by_partition
+        assert PARTITION in harness.ownership_manager.owners_by_partition
 
 
 def test_member_names() -> None:
--- a/clementinespar/jobs/tests/test_placement.py
+++ b/clementinespar/jobs/tests/test_placement.py
@@ -83,7 +83,7 @@
     async def scenario() -> None:
         sessions = [make_session("small"), make_session("big", 8000)]
         sessions[0].entry = make_session("small", rack="r2").entry
-        chosen = placement.Room(sessions).choose(
+        chosen = placement.FreeCapacity(sessions).choose(
             spec, collections.Counter(counts), avoided
         )
         assert (None if chosen is None else chosen.entry.worker_id) == wanted
@@ -98,7 +98,7 @@
     async def scenario() -> None:
         sessions = [make_session("a", 4000, "r1"), make_session("b", 8000, "r2")]
         spec = model.StepSpec(size, 1000, 10, is_gang=True, is_same_rack=True)
-        chosen = placement.Room(sessions).choose_gang(spec, size)
+        chosen = placement.FreeCapacity(sessions).choose_gang(spec, size)
         assert (chosen is not None) is wanted
 
     asyncio.run(scenario())
--- a/clementinespar/jobs/tests/test_pool_owner.py
+++ b/clementinespar/jobs/tests/test_pool_owner.py
@@ -14,41 +14,41 @@
 @paused_clock.test
 async def test_job_is_done_and_its_ends_are_acknowledged() -> None:
     """Guards against ends that stay listed, which workers send again and again."""
-    bench = helpers.OwnerBench(fakes.FakeWorkers())
-    async with helpers.run_owner(bench):
-        await bench.submit(helpers.make_spec("a", task_count=5))
-        await bench.wait_state("a", model.JobState.DONE)
+    harness = helpers.OwnerHarness(fakes.FakeWorkers())
+    async with helpers.run_owner(harness):
+        await harness.submit(helpers.make_spec("a", task_count=5))
+        await harness.wait_state("a", model.JobState.DONE)
         await asyncio.sleep(2.0)
-        assert all(not worker.ended for worker in bench.workers.workers.values())
-    assert len(bench.workers.starts) == 5
-    assert not bench.workers.violations
+        assert all(not worker.ended for worker in harness.workers.workers.values())
+    assert len(harness.workers.starts) == 5
+    assert not harness.workers.violations
 
 
 @paused_clock.test
 async def test_done_is_stored_before_it_is_shown() -> None:
     """Guards against a job that was shown as done and runs again after a loss."""
-    bench = helpers.OwnerBench(fakes.FakeWorkers())
-    async with helpers.run_owner(bench) as owner:
-        await bench.submit(helpers.make_spec("a", task_count=1))
-        while not bench.workers.starts:
+    harness = helpers.OwnerHarness(fakes.FakeWorkers())
+    async with helpers.run_owner(harness) as owner:
+        await harness.submit(helpers.make_spec("a", task_count=1))
+        while not harness.workers.starts:
             await asyncio.sleep(0.01)
-        bench.store.is_down = True
+        harness.store.is_down = True
         await asyncio.sleep(3.0)
         assert owner.describe("a") is model.JobState.RUNNING
-        bench.store.is_down = False
-        await bench.wait_state("a", model.JobState.DONE)
+        harness.store.is_down = False
+        await harness.wait_state("a", model.JobState.DONE)
 
 
 @paused_clock.test
 async def test_all_nodes_lost_after_an_acknowledgement() -> None:
     """Guards against an accepted job that no node knows after all lost power."""
-    bench = helpers.OwnerBench(fakes.FakeWorkers())
-    await bench.submit(helpers.make_spec("a"))
-    async with helpers.run_owner(bench):
+    harness = helpers.OwnerHarness(fakes.FakeWorkers())
+    await harness.submit(helpers.make_spec("a"))
+    async with helpers.run_owner(harness):
         await asyncio.sleep(0.1)
-    async with helpers.run_owner(bench):
-        await bench.wait_state("a", model.JobState.DONE)
-    assert not bench.workers.violations
+    async with helpers.run_owner(harness):
+        await harness.wait_state("a", model.JobState.DONE)
+    assert not harness.workers.violations
 
 
 @paused_clock.test
@@ -56,13 +56,13 @@
     """Guards against a second run of a task that a former owner started."""
     workers = fakes.FakeWorkers()
     workers.task_s = 3.0
-    bench = helpers.OwnerBench(workers)
-    await bench.submit(helpers.make_spec("a", task_count=4))
-    async with helpers.run_owner(bench):
+    harness = helpers.OwnerHarness(workers)
+    await harness.submit(helpers.make_spec("a", task_count=4))
+    async with helpers.run_owner(harness):
         await asyncio.sleep(1.0)
     assert len(workers.starts) == 4
-    async with helpers.run_owner(bench):
-        await bench.wait_state("a", model.JobState.DONE)
+    async with helpers.run_owner(harness):
+        await harness.wait_state("a", model.JobState.DONE)
     assert len(workers.starts) == 4
 
 
@@ -71,50 +71,52 @@
     """Guards against a second run while the first goes on behind a cut."""
     workers = fakes.FakeWorkers()
     workers.task_s = 60.0
-    bench = helpers.OwnerBench(workers)
-    await bench.submit(helpers.make_spec("a", task_count=2))
-    async with helpers.run_owner(bench):
+    harness = helpers.OwnerHarness(workers)
+    await harness.submit(helpers.make_spec("a", task_count=2))
+    async with helpers.run_owner(harness):
         await asyncio.sleep(1.0)
     used = {worker_id for _, _, worker_id in workers.starts}
-    silent = sorted(used)[0]
-    workers.workers[silent].is_silent = True
-    async with helpers.run_owner(bench):
+    unresponsive = sorted(used)[0]
+    workers.workers[unresponsive].is_unresponsive = True
+    async with helpers.run_owner(harness):
         await asyncio.sleep(20.0)
     assert not workers.violations
-    runs = sorted(run for _, run, worker_id in workers.starts if worker_id != silent)
+    runs = sorted(
+        run for _, run, worker_id in workers.starts if worker_id != unresponsive
+    )
     assert runs[-1] > 1000  # started again under a run above all of the first owner
 
 
 @paused_clock.test
-async def test_new_job_starts_while_a_former_worker_is_silent() -> None:
+async def test_new_job_starts_while_a_previous_worker_is_unresponsive() -> None:
     """Guards against a pool that stands still after a change of owner."""
     workers = fakes.FakeWorkers(3)
     workers.task_s = 60.0
-    bench = helpers.OwnerBench(workers)
-    await bench.submit(helpers.make_spec("old", task_count=3))
-    async with helpers.run_owner(bench):
+    harness = helpers.OwnerHarness(workers)
+    await harness.submit(helpers.make_spec("old", task_count=3))
+    async with helpers.run_owner(harness):
         await asyncio.sleep(1.0)
-    workers.workers["quotes-0"].is_silent = True
-    async with helpers.run_owner(bench):
+    workers.workers["quotes-0"].is_unresponsive = True
+    async with helpers.run_owner(harness):
         await asyncio.sleep(0.5)
-        await bench.submit(helpers.make_spec("new", task_count=1))
+        await harness.submit(helpers.make_spec("new", task_count=1))
         await asyncio.sleep(0.5)
         assert any(task.job_id == "new" for task, _, _ in workers.starts)
 
 
 @paused_clock.test
-async def test_lease_of_a_silent_worker_ends() -> None:
+async def test_lease_of_an_unresponsive_worker_ends() -> None:
     """Guards against renewals without answers that keep a lease from ever ending.
 
     Found by the bench: a lasting task of a crashed worker did not start again.
     """
     workers = fakes.FakeWorkers(2)
-    bench = helpers.OwnerBench(workers)
-    await bench.submit(helpers.make_spec("a", task_count=1, is_lasting=True))
-    async with helpers.run_owner(bench):
+    harness = helpers.OwnerHarness(workers)
+    await harness.submit(helpers.make_spec("a", task_count=1, is_lasting=True))
+    async with helpers.run_owner(harness):
         await asyncio.sleep(1.0)
         first = workers.starts[0][2]
-        workers.workers[first].is_silent = True
+        workers.workers[first].is_unresponsive = True
         await asyncio.sleep(helpers.LEASE_MAX_S + 3.0)
         assert len(workers.starts) == 2
         assert workers.starts[1][2] != first
@@ -122,33 +124,33 @@
 
 
 @paused_clock.test
-async def test_copy_of_a_speculative_task_starts_beside_a_silent_worker() -> None:
+async def test_speculative_copy_starts_while_the_worker_is_unresponsive() -> None:
     """Guards against a wait for the lease where a copy may run in parallel."""
     workers = fakes.FakeWorkers(2)
     workers.task_s = 3.0
-    bench = helpers.OwnerBench(workers)
+    harness = helpers.OwnerHarness(workers)
     spec = helpers.make_spec("a", task_count=1)
     step = dataclasses.replace(spec.steps[0], is_speculative=True)
-    await bench.submit(dataclasses.replace(spec, steps=(step,)))
-    async with helpers.run_owner(bench):
+    await harness.submit(dataclasses.replace(spec, steps=(step,)))
+    async with helpers.run_owner(harness):
         await asyncio.sleep(0.5)
-        workers.workers[workers.starts[0][2]].is_silent = True
-        await bench.wait_state("a", model.JobState.DONE, helpers.LEASE_MAX_S - 0.5)
+        workers.workers[workers.starts[0][2]].is_unresponsive = True
+        await harness.wait_state("a", model.JobState.DONE, helpers.LEASE_MAX_S - 0.5)
     assert len(workers.starts) == 2
 
 
 @paused_clock.test
-async def test_worker_that_goes_and_comes_gets_a_pause() -> None:
+async def test_flapping_worker_gets_a_pause() -> None:
     """Guards against an idle worker that attracts work each time it returns."""
     workers = fakes.FakeWorkers(2)
-    bench = helpers.OwnerBench(workers)
-    async with helpers.run_owner(bench) as owner:
+    harness = helpers.OwnerHarness(workers)
+    async with helpers.run_owner(harness) as owner:
         await asyncio.sleep(0.5)
         pauses = []
         for _ in range(3):
-            workers.workers["quotes-0"].is_silent = True
+            workers.workers["quotes-0"].is_unresponsive = True
             await asyncio.sleep(2.0)
-            workers.workers["quotes-0"].is_silent = False
+            workers.workers["quotes-0"].is_unresponsive = False
             await asyncio.sleep(0.8)
             now = asyncio.get_running_loop().time()
             session = owner.sessions_by_id["quotes-0"]
@@ -163,16 +165,16 @@
     """Guards against a second run beside one whose start had no answer."""
     workers = fakes.FakeWorkers(2)
     workers.task_s = 5.0
-    bench = helpers.OwnerBench(workers)
-    async with helpers.run_owner(bench):
+    harness = helpers.OwnerHarness(workers)
+    async with helpers.run_owner(harness):
         await asyncio.sleep(0.5)
         for worker in workers.workers.values():
-            worker.is_deaf_to_answers = True
-        await bench.submit(helpers.make_spec("a", task_count=2))
+            worker.loses_answers = True
+        await harness.submit(helpers.make_spec("a", task_count=2))
         await asyncio.sleep(1.0)
         for worker in workers.workers.values():
-            worker.is_deaf_to_answers = False
-        await bench.wait_state("a", model.JobState.DONE, 60.0)
+            worker.loses_answers = False
+        await harness.wait_state("a", model.JobState.DONE, 60.0)
     assert not workers.violations
 
 
@@ -180,27 +182,27 @@
 async def test_nothing_starts_without_confirmed_ownership() -> None:
     """Guards against orders of a node that the store has not confirmed for long."""
     workers = fakes.FakeWorkers()
-    bench = helpers.OwnerBench(workers)
-    async with helpers.run_owner(bench):
+    harness = helpers.OwnerHarness(workers)
+    async with helpers.run_owner(harness):
         await asyncio.sleep(1.0)
-        bench.confirmed_at = asyncio.get_running_loop().time() - helpers.LEASE_MAX_S
-        await bench.submit(helpers.make_spec("a"))
+        harness.confirmed_at = asyncio.get_running_loop().time() - helpers.LEASE_MAX_S
+        await harness.submit(helpers.make_spec("a"))
         await asyncio.sleep(2.0)
         assert not workers.starts
-        bench.confirmed_at = None
-        await bench.wait_state("a", model.JobState.DONE)
+        harness.confirmed_at = None
+        await harness.wait_state("a", model.JobState.DONE)
 
 
 @paused_clock.test
 async def test_fenced_owner_gives_up() -> None:
     """Guards against a frozen owner that goes on after its successor took over."""
     workers = fakes.FakeWorkers()
-    bench = helpers.OwnerBench(workers)
-    async with helpers.run_owner(bench) as first:
+    harness = helpers.OwnerHarness(workers)
+    async with helpers.run_owner(harness) as first:
         await asyncio.sleep(0.5)
-        async with helpers.run_owner(bench) as second:
-            await bench.submit(helpers.make_spec("a", task_count=6))
-            await bench.wait_state("a", model.JobState.DONE)
+        async with helpers.run_owner(harness) as second:
+            await harness.submit(helpers.make_spec("a", task_count=6))
+            await harness.wait_state("a", model.JobState.DONE)
             assert first.is_lost
             assert not second.is_lost
     assert not workers.violations
@@ -213,12 +215,12 @@
     Found by the bench: a new owner without a session of the worker answered "free".
     """
     workers = fakes.FakeWorkers(2)
-    bench = helpers.OwnerBench(workers)
-    await bench.submit(helpers.make_spec("a", task_count=2, is_lasting=True))
-    async with helpers.run_owner(bench):
+    harness = helpers.OwnerHarness(workers)
+    await harness.submit(helpers.make_spec("a", task_count=2, is_lasting=True))
+    async with helpers.run_owner(harness):
         await asyncio.sleep(1.0)
     workers.is_loaded = False
-    async with helpers.run_owner(bench) as owner:
+    async with helpers.run_owner(harness) as owner:
         while not owner.is_loaded:
             await asyncio.sleep(0.01)
         drain = model.EvacuationUrgency.DRAIN
@@ -229,10 +231,10 @@
 async def test_evacuation_moves_no_more_lasting_tasks_than_may_miss() -> None:
     """Guards against two lasting tasks of a step that are away at once."""
     workers = fakes.FakeWorkers(4)
-    bench = helpers.OwnerBench(workers)
+    harness = helpers.OwnerHarness(workers)
     spec = helpers.make_spec("a", task_count=2, is_lasting=True, may_miss=1)
-    await bench.submit(spec)
-    async with helpers.run_owner(bench) as owner:
+    await harness.submit(spec)
+    async with helpers.run_owner(harness) as owner:
         await asyncio.sleep(1.0)
         used = [worker_id for _, _, worker_id in workers.starts]
         drain = model.EvacuationUrgency.DRAIN
@@ -255,10 +257,10 @@
     """
     workers = fakes.FakeWorkers(2, pool="quotes")
     workers.add("batches-0", "batches", cpu=64_000)
-    bench = helpers.OwnerBench(workers)
-    async with helpers.run_owner(bench):
-        await bench.submit(helpers.make_spec("a", task_count=6, pool="quotes"))
-        await bench.wait_state("a", model.JobState.DONE)
+    harness = helpers.OwnerHarness(workers)
+    async with helpers.run_owner(harness):
+        await harness.submit(helpers.make_spec("a", task_count=6, pool="quotes"))
+        await harness.wait_state("a", model.JobState.DONE)
     assert {worker_id for _, _, worker_id in workers.starts} <= {"quotes-0", "quotes-1"}
 
 
@@ -268,11 +270,11 @@
 
     Found by the bench: a read of the store hung on a silent connection.
     """
-    bench = helpers.OwnerBench(fakes.FakeWorkers())
-    async with helpers.run_owner(bench) as owner:
+    harness = helpers.OwnerHarness(fakes.FakeWorkers())
+    async with helpers.run_owner(harness) as owner:
         await asyncio.sleep(1.0)
         assert owner.describe("missing") is None
-        bench.store.is_down = True
+        harness.store.is_down = True
         await asyncio.sleep(4.0)
         with pytest.raises(errors.ClementinesparError):
             owner.describe("missing")
@@ -283,17 +285,17 @@
     """Guards against an operator who cannot see why a job does not go on."""
     workers = fakes.FakeWorkers(1)
     workers.task_s = 60.0
-    bench = helpers.OwnerBench(workers)
-    await bench.submit(helpers.make_spec("a", task_count=2))
-    async with helpers.run_owner(bench):
+    harness = helpers.OwnerHarness(workers)
+    await harness.submit(helpers.make_spec("a", task_count=2))
+    async with helpers.run_owner(harness):
         await asyncio.sleep(0.5)
-    workers.workers["quotes-0"].is_silent = True
-    async with helpers.run_owner(bench) as owner:
+    workers.workers["quotes-0"].is_unresponsive = True
+    async with helpers.run_owner(harness) as owner:
         await asyncio.sleep(0.5)
-        told = owner.explain("a")
-        assert told is not None
-        assert told.waits_for == "workers of the former owner that do not answer"
-        assert any("0 of 2 tasks done" in line for line in told.because)
+        explained = owner.explain("a")
+        assert explained is not None
+        assert explained.waits_for == "workers of the former owner that do not answer"
+        assert any("0 of 2 tasks done" in line for line in explained.because)
         assert owner.explain("missing") is None
 
 
@@ -301,18 +303,18 @@
 async def test_only_advised_workers_run_a_step() -> None:
     """Guards against starts that are refused for want of a ticket."""
     workers = fakes.FakeWorkers(4)
-    bench = helpers.OwnerBench(workers)
-    bench.adviser.is_busy = True
+    harness = helpers.OwnerHarness(workers)
+    harness.adviser.is_busy = True
     spec = dataclasses.replace(helpers.make_spec("a", 6), needs_advice=True)
-    async with helpers.run_owner(bench):
-        await bench.submit(spec)
+    async with helpers.run_owner(harness):
+        await harness.submit(spec)
         await asyncio.sleep(1.0)
         assert not workers.starts
-        bench.adviser.is_busy = False
-        bench.adviser.good = {"quotes-2"}
-        await bench.wait_state("a", model.JobState.DONE)
+        harness.adviser.is_busy = False
+        harness.adviser.allowed_ids = {"quotes-2"}
+        await harness.wait_state("a", model.JobState.DONE)
     assert {worker_id for _, _, worker_id in workers.starts} == {"quotes-2"}
-    assert bench.adviser.calls < 10
+    assert harness.adviser.calls < 10
 
 
 @paused_clock.test
@@ -320,15 +322,15 @@
     """Guards against tasks of a cancelled job that run on or start again."""
     workers = fakes.FakeWorkers()
     workers.task_s = 60.0
-    bench = helpers.OwnerBench(workers)
-    await bench.submit(helpers.make_spec("a", task_count=2))
-    async with helpers.run_owner(bench):
+    harness = helpers.OwnerHarness(workers)
+    await harness.submit(helpers.make_spec("a", task_count=2))
+    async with helpers.run_owner(harness):
         await asyncio.sleep(0.5)
-        await bench.cancel("a")
+        await harness.cancel("a")
         await asyncio.sleep(0.5)
         assert all(not worker.running for worker in workers.workers.values())
-    async with helpers.run_owner(bench) as owner:
-        await bench.submit(helpers.make_spec("a", task_count=2))
+    async with helpers.run_owner(harness) as owner:
+        await harness.submit(helpers.make_spec("a", task_count=2))
         await asyncio.sleep(1.0)
         assert owner.describe("a") is model.JobState.CANCELLED
     assert len(workers.starts) == 2
@@ -340,17 +342,17 @@
     workers = fakes.FakeWorkers(1)
     worker = workers.workers["quotes-0"]
     worker.end_kind = model.EndKind.FAILED
-    worker.keeps_ends = True
-    bench = helpers.OwnerBench(workers)
-    await bench.submit(helpers.make_spec("a", task_count=1, max_attempts=2))
-    async with helpers.run_owner(bench):
+    worker.loses_acknowledgements = True
+    harness = helpers.OwnerHarness(workers)
+    await harness.submit(helpers.make_spec("a", task_count=1, max_attempts=2))
+    async with helpers.run_owner(harness):
         while not worker.ended:
             await asyncio.sleep(0.02)
         worker.end_kind = model.EndKind.DONE
         workers.task_s = 3.0  # the second run is open when the owner is lost
         await asyncio.sleep(1.0)
-    async with helpers.run_owner(bench):
-        await bench.wait_state("a", model.JobState.DONE)
+    async with helpers.run_owner(harness):
+        await harness.wait_state("a", model.JobState.DONE)
 
 
 @pytest.mark.parametrize(
@@ -360,33 +362,33 @@
     """Guards against one bad entry that keeps a pool from loading."""
 
     async def scenario() -> None:
-        bench = helpers.OwnerBench(fakes.FakeWorkers())
-        await bench.submit(helpers.make_spec("bad"))
-        await bench.submit(helpers.make_spec("good"))
-        progress = bench.store.values[services.Topic.PROGRESS, helpers.PARTITION]
+        harness = helpers.OwnerHarness(fakes.FakeWorkers())
+        await harness.submit(helpers.make_spec("bad"))
+        await harness.submit(helpers.make_spec("good"))
+        progress = harness.store.values[services.Topic.PROGRESS, helpers.PARTITION]
         progress["pbad"] = value
-        async with helpers.run_owner(bench):
-            await bench.wait_state("good", model.JobState.DONE)
+        async with helpers.run_owner(harness):
+            await harness.wait_state("good", model.JobState.DONE)
 
     paused_clock.run(scenario())
 
 
 @paused_clock.test
-async def test_changes_of_owner_do_not_prolong_the_wait_for_a_silent_worker() -> None:
+async def test_changes_of_owner_do_not_prolong_the_wait_for_a_worker() -> None:
     """Guards against a wait that each next owner begins anew.
 
     Found by the bench: a lasting task of a dark rack was away for 20 s, since its pool
     changed its owner every few seconds.
     """
     workers = fakes.FakeWorkers(3)
-    bench = helpers.OwnerBench(workers)
-    await bench.submit(helpers.make_spec("a", task_count=1, is_lasting=True))
-    async with helpers.run_owner(bench):
+    harness = helpers.OwnerHarness(workers)
+    await harness.submit(helpers.make_spec("a", task_count=1, is_lasting=True))
+    async with helpers.run_owner(harness):
         await asyncio.sleep(1.0)
     used = workers.starts[0][2]
-    workers.workers[used].is_silent = True
+    workers.workers[used].is_unresponsive = True
     for _ in range(5):
-        async with helpers.run_owner(bench):
+        async with helpers.run_owner(harness):
             await asyncio.sleep(helpers.LEASE_MAX_S / 3)
     assert [worker_id for _, _, worker_id in workers.starts[1:]] != []
     assert not workers.violations
@@ -401,20 +403,20 @@
     """
     workers = fakes.FakeWorkers(2)
     workers.task_s = 60.0
-    bench = helpers.OwnerBench(workers)
-    await bench.submit(helpers.make_spec("a", task_count=1, is_lasting=True))
-    async with helpers.run_owner(bench):
+    harness = helpers.OwnerHarness(workers)
+    await harness.submit(helpers.make_spec("a", task_count=1, is_lasting=True))
+    async with helpers.run_owner(harness):
         await asyncio.sleep(1.0)
     used = workers.workers[workers.starts[0][2]]
-    used.is_silent = True
-    async with helpers.run_owner(bench):
+    used.is_unresponsive = True
+    async with helpers.run_owner(harness):
         await asyncio.sleep(helpers.LEASE_MAX_S / 2)
-        bench.store.is_down = True
-        used.is_silent = False
+        harness.store.is_down = True
+        used.is_unresponsive = False
         await asyncio.sleep(1.0)
-        used.is_silent = True
-    bench.store.is_down = False
-    async with helpers.run_owner(bench):
+        used.is_unresponsive = True
+    harness.store.is_down = False
+    async with helpers.run_owner(harness):
         await asyncio.sleep(2 * helpers.LEASE_MAX_S)
     assert len(workers.starts) == 2
     assert not workers.violations
@@ -425,17 +427,17 @@
     """Guards against a start beside a run that a former owner's record hid."""
     workers = fakes.FakeWorkers(2)
     workers.task_s = 60.0
-    bench = helpers.OwnerBench(workers)
-    await bench.submit(helpers.make_spec("a", task_count=1))
-    async with helpers.run_owner(bench):
+    harness = helpers.OwnerHarness(workers)
+    await harness.submit(helpers.make_spec("a", task_count=1))
+    async with helpers.run_owner(harness):
         await asyncio.sleep(1.0)
-    workers.workers[workers.starts[0][2]].is_silent = True
-    await bench.store.append(
+    workers.workers[workers.starts[0][2]].is_unresponsive = True
+    await harness.store.append(
         services.Topic.PROGRESS,
         helpers.PARTITION,
         [services.KeyedRecord("workers", b"[1]")],
     )
-    async with helpers.run_owner(bench):
+    async with helpers.run_owner(harness):
         await asyncio.sleep(2 * helpers.LEASE_MAX_S)
     assert len(workers.starts) == 2
     assert not workers.violations
@@ -449,14 +451,14 @@
     """
     workers = fakes.FakeWorkers(1)
     workers.task_s = 60.0
-    bench = helpers.OwnerBench(workers)
-    await bench.submit(helpers.make_spec("a", task_count=2))
-    async with helpers.run_owner(bench):
+    harness = helpers.OwnerHarness(workers)
+    await harness.submit(helpers.make_spec("a", task_count=2))
+    async with helpers.run_owner(harness):
         await asyncio.sleep(1.0)
-    async with helpers.run_owner(bench) as owner:
+    async with helpers.run_owner(harness) as owner:
         while not owner.is_loaded:
             await asyncio.sleep(0.001)
-        bench.store.is_down = True
+        harness.store.is_down = True
         await asyncio.sleep(2 * helpers.LEASE_MAX_S)
         assert len(workers.workers["quotes-0"].running) == 2
     assert not workers.violations
@@ -471,18 +473,18 @@
     while hosts were moved.
     """
     workers = fakes.FakeWorkers(2)
-    bench = helpers.OwnerBench(workers)
-    await bench.submit(helpers.make_spec("a", task_count=1, is_lasting=True))
-    async with helpers.run_owner(bench) as owner:
+    harness = helpers.OwnerHarness(workers)
+    await harness.submit(helpers.make_spec("a", task_count=1, is_lasting=True))
+    async with helpers.run_owner(harness) as owner:
         await asyncio.sleep(1.0)
         used = workers.starts[0][2]
         idle = next(worker_id for worker_id in workers.workers if worker_id != used)
         if is_evacuated:
             assert owner.evacuate(idle, 5.0, model.EvacuationUrgency.IF_IDLE)
-        workers.workers[idle].is_silent = True
+        workers.workers[idle].is_unresponsive = True
         await asyncio.sleep(0.2 if is_evacuated else 4.0)
     workers.crash(used)
-    async with helpers.run_owner(bench):
+    async with helpers.run_owner(harness):
         await asyncio.sleep(1.0)
     assert [worker_id for _, _, worker_id in workers.starts] == [used, used]
     assert not workers.violations
@@ -493,16 +495,16 @@
     """Guards against a run on a worker that the next owner does not wait for."""
     workers = fakes.FakeWorkers(1)
     workers.task_s = 60.0
-    bench = helpers.OwnerBench(workers)
-    async with helpers.run_owner(bench) as owner:
+    harness = helpers.OwnerHarness(workers)
+    async with helpers.run_owner(harness) as owner:
         await asyncio.sleep(1.0)
         assert owner.evacuate("quotes-0", 0.3, model.EvacuationUrgency.IF_IDLE)
-        await bench.submit(helpers.make_spec("a", task_count=1))
+        await harness.submit(helpers.make_spec("a", task_count=1))
         await asyncio.sleep(2.0)
         assert len(workers.starts) == 1
-    workers.workers["quotes-0"].is_silent = True
+    workers.workers["quotes-0"].is_unresponsive = True
     workers.add("quotes-1", "quotes")
-    async with helpers.run_owner(bench):
+    async with helpers.run_owner(harness):
         await asyncio.sleep(helpers.LEASE_MAX_S - 1.5)
         assert len(workers.starts) == 1
         await asyncio.sleep(3.0)
@@ -511,20 +513,20 @@
 
 
 @paused_clock.test
-async def test_run_that_may_be_at_work_is_kept_while_others_are_away() -> None:
+async def test_run_that_may_be_working_is_kept_while_others_are_down() -> None:
     """Guards against a stop of a run that got to work since its last report.
 
     Found by a hunt: an evacuation ended such a run while more of its step were away
     than it may miss.
     """
     workers = fakes.FakeWorkers(3)
-    bench = helpers.OwnerBench(workers)
+    harness = helpers.OwnerHarness(workers)
     spec = helpers.make_spec("a", task_count=2, is_lasting=True, may_miss=1)
-    await bench.submit(spec)
-    async with helpers.run_owner(bench) as owner:
+    await harness.submit(spec)
+    async with helpers.run_owner(harness) as owner:
         await asyncio.sleep(1.0)
-        away, kept = (worker_id for _, _, worker_id in workers.starts)
-        workers.workers[away].is_silent = True
+        down, kept = (worker_id for _, _, worker_id in workers.starts)
+        workers.workers[down].is_unresponsive = True
         await asyncio.sleep(3.0)
         for run in owner.sessions_by_id[kept].runs.values():
             run.percent = 50  # as last reported
--- a/clementinespar/jobs/tests/test_service.py
+++ b/clementinespar/jobs/tests/test_service.py
@@ -20,13 +20,13 @@
     current: model.JobConfiguration | None = None
 
 
-class ServiceBench:
+class ServiceHarness:
     """A node's service on a store and a group that can go silent."""
 
     def __init__(self) -> None:
         self.store = fakes.FakeStore()
         self.group = fakes.FakeGroup(frozenset())
-        self.keeper = ownership.OwnershipKeeper(
+        self.ownership_manager = ownership.OwnershipManager(
             self.group,
             lambda partition, epoch: pytest.fail("no partition is assigned"),
             lambda epoch: pytest.fail("no host is held"),
@@ -35,13 +35,16 @@
             fakes.ignore_event,
         )
         self.jobs = service.JobService(
-            self.keeper, NoConfiguration(), self.store, http_calls.HttpCaller()
+            self.ownership_manager,
+            NoConfiguration(),
+            self.store,
+            http_calls.HttpCaller(),
         )
 
-    def set_silent(self, is_silent: bool) -> None:
+    def set_unavailable(self, is_unavailable: bool) -> None:
         """Let the store answer no call, or answer again."""
-        self.store.is_silent = is_silent
-        self.group.is_silent = is_silent
+        self.store.drops_calls = is_unavailable
+        self.group.drops_calls = is_unavailable
 
     async def submit(self, job_id: str) -> tuple[codes.ResultCode, float]:
         """Submit a job; return the answer and the seconds it took."""
@@ -53,60 +56,60 @@
 
 
 @contextlib.asynccontextmanager
-async def run_service() -> AsyncIterator[ServiceBench]:
+async def run_service() -> AsyncIterator[ServiceHarness]:
     """Run a keeper and a service while the context is entered."""
-    bench = ServiceBench()
-    async with ownership.keep_ownership(bench.keeper):
+    harness = ServiceHarness()
+    async with ownership.run_ownership_manager(harness.ownership_manager):
         await asyncio.sleep(1.0)
-        yield bench
+        yield harness
 
 
 @paused_clock.test
-async def test_submission_in_flight_is_given_up_early() -> None:
+async def test_in_flight_submission_is_given_up_early() -> None:
     """Guards against callers that are held until their deadline by a silent store."""
-    async with run_service() as bench:
-        bench.set_silent(True)
-        code, took_s = await bench.submit("a")
+    async with run_service() as harness:
+        harness.set_unavailable(True)
+        code, took_s = await harness.submit("a")
         assert code is codes.ResultCode.STORE_UNANSWERED  # it may be stored
-        assert took_s <= 2 * service.SILENT_STORE_S
+        assert took_s <= 2 * service.STORE_UNAVAILABLE_S
 
 
 @paused_clock.test
-async def test_submission_is_refused_while_the_store_is_silent() -> None:
+async def test_submission_is_refused_while_the_store_is_unavailable() -> None:
     """Guards against a refusal of a job that was sent to the store.
 
     The caller may take it as true that a refused job never runs.
     """
-    async with run_service() as bench:
-        bench.set_silent(True)
+    async with run_service() as harness:
+        harness.set_unavailable(True)
         await asyncio.sleep(2.0)
-        code, took_s = await bench.submit("a")
+        code, took_s = await harness.submit("a")
         assert code is codes.ResultCode.STORE_REFUSED
         assert took_s < 0.01
-        bench.set_silent(False)
+        harness.set_unavailable(False)
         await asyncio.sleep(2.0)
-        assert not any(bench.store.values.values())
+        assert not any(harness.store.values.values())
 
 
 @paused_clock.test
 async def test_submission_is_accepted_once_the_store_is_back() -> None:
     """Guards against a node that refuses callers after the end of an outage."""
-    async with run_service() as bench:
-        bench.set_silent(True)
+    async with run_service() as harness:
+        harness.set_unavailable(True)
         await asyncio.sleep(3.0)
-        bench.set_silent(False)
+        harness.set_unavailable(False)
         await asyncio.sleep(2.0)
-        code, _ = await bench.submit("a")
+        code, _ = await harness.submit("a")
         assert code is codes.ResultCode.OK
 
 
 @paused_clock.test
-async def test_lost_answers_do_not_make_a_store_silent() -> None:
+async def test_lost_answers_do_not_make_a_store_unavailable() -> None:
     """Guards against refusals while the store answers other calls."""
-    async with run_service() as bench:
-        bench.store.loses_answers = True
-        submission = asyncio.create_task(bench.submit("a"))
+    async with run_service() as harness:
+        harness.store.loses_answers = True
+        submission = asyncio.create_task(harness.submit("a"))
         await asyncio.sleep(0.5)
-        bench.store.loses_answers = False
+        harness.store.loses_answers = False
         code, _ = await submission
         assert code is codes.ResultCode.OK
--- a/clementinespar/jobs/tests/test_state.py
+++ b/clementinespar/jobs/tests/test_state.py
@@ -42,12 +42,12 @@
         step.tasks[index].failed_runs = set(runs)
     other = state.JobProgress(job.spec)
     state.restore_progress(other, state.encode_progress(job))
-    held = other.occurrences[0].steps[0]
-    assert {t.key.index for t in held.tasks if t.is_done} == done
-    assert held.done_count == len(done)
-    assert held.waiting == set(range(7)) - done
+    restored_step = other.occurrences[0].steps[0]
+    assert {t.key.index for t in restored_step.tasks if t.is_done} == done
+    assert restored_step.done_count == len(done)
+    assert restored_step.waiting == set(range(7)) - done
     for index, runs in failed.items():
-        assert held.tasks[index].failed_runs == runs
+        assert restored_step.tasks[index].failed_runs == runs
 
 
 @pytest.mark.parametrize(("epoch", "last_run", "wanted"), [(4, 0, 1), (4, 3, 4)])
--- a/clementinespar/jobs/worker_session.py
+++ b/clementinespar/jobs/worker_session.py
@@ -14,13 +14,13 @@
 from clementinespar.jobs import model, services
 
 # A worker's clock may run 2% slow, so a lease lasts that much longer in real time.
-CLOCK_RATE = 0.98
+MIN_CLOCK_RATE = 0.98
 LEASE_MARGIN_S = 0.15  # network and timer delay beyond the end of a lease
 RENEW_WAIT_MS = 800  # a renewal waits this long for an end
 SETTLE_WAIT_MS = 60  # shorter wait while a stop or an open order is outstanding
 RENEW_SPACING_S = 0.025  # collects ends, since each renewal is priced
 RETRY_DELAY_S = 0.15
-SILENT_AFTER_S = 1.6  # no new work for a worker without contact for this long
+UNRESPONSIVE_AFTER_S = 1.6  # no new work for a worker without contact for this long
 EJECT_FAILED_JOBS = 2  # jobs that failed in a row on a worker before it is ejected
 EJECT_S = 2.5
 # A worker that was silent and back before within the window gets a pause of 1, 2, then
@@ -112,7 +112,7 @@
         """Note that a renewal was answered."""
         ...
 
-    def on_silent(self, session: "WorkerSession") -> None:
+    def on_unresponsive(self, session: "WorkerSession") -> None:
         """Note that a renewal had no answer."""
         ...
 
@@ -122,7 +122,7 @@
         """Apply an end from the worker's list."""
         ...
 
-    def on_gone(self, session: "WorkerSession", run: Run, reason: str) -> None:
+    def on_run_gone(self, session: "WorkerSession", run: Run, reason: str) -> None:
         """Note that a run certainly does not execute, without an end."""
         ...
 
@@ -155,7 +155,7 @@
     free_cpu: int
     free_memory: int
     free_gpus: int
-    is_touched: bool  # it has answered this owner, so former owners are harmless
+    has_answered: bool  # it has answered this owner, so former owners are harmless
     is_listed: bool  # the directory has it
     is_evacuating: bool
     lease_bound: float  # event-loop time after which nothing of ours executes there
@@ -167,7 +167,7 @@
     ejected_until: float
     _client: services.WorkerClient
     _events: RunEvents
-    _record: services.JobRecorder
+    _log_event: services.EventLog
     _clock_ms: int | None
     _clock_at: float
     _task: asyncio.Task[None] | None
@@ -179,10 +179,10 @@
         entry: model.WorkerEntry,
         fence: int,
         lease_s: float,
-        former_bound: float,
+        previous_lease_bound: float,
         client: services.WorkerClient,
         events: RunEvents,
-        record: services.JobRecorder,
+        log_event: services.EventLog,
     ) -> None:
         self.entry = entry
         self.fence = fence
@@ -191,10 +191,10 @@
         self.free_cpu = entry.cpu_millis
         self.free_memory = entry.memory_mb
         self.free_gpus = entry.gpus
-        self.is_touched = False
+        self.has_answered = False
         self.is_listed = True
         self.is_evacuating = False
-        self.lease_bound = former_bound
+        self.lease_bound = previous_lease_bound
         self.last_contact = 0.0
         self.acknowledged = 0
         self.processed = 0
@@ -203,7 +203,7 @@
         self.ejected_until = 0.0
         self._client = client
         self._events = events
-        self._record = record
+        self._log_event = log_event
         self._clock_ms = None
         self._clock_at = 0.0
         self._task = None
@@ -212,7 +212,7 @@
 
     def open(self) -> None:
         """Start the task of this worker."""
-        self._task = asyncio.create_task(self._keep())
+        self._task = asyncio.create_task(self._renew_lease())
 
     def close(self) -> None:
         """Stop calling the worker; runs there go on until their lease ends."""
@@ -224,11 +224,11 @@
     def can_take(self, now: float) -> bool:
         """Whether the worker may get new work."""
         return (
-            self.is_touched
+            self.has_answered
             and self.is_listed
             and not self.is_evacuating
             and not self.entry.is_draining
-            and now - self.last_contact < SILENT_AFTER_S
+            and now - self.last_contact < UNRESPONSIVE_AFTER_S
             and now >= self.ejected_until
         )
 
@@ -238,7 +238,7 @@
         return not self.runs and (
             self.is_evacuating
             or not self.is_listed
-            or now - self.last_contact >= SILENT_AFTER_S
+            or now - self.last_contact >= UNRESPONSIVE_AFTER_S
         )
 
     def fits(self, spec: model.StepSpec) -> bool:
@@ -270,13 +270,13 @@
 
     def start(self, run: Run, payload: str, saved: str, ticket: str = "") -> None:
         """Give the order to start a run, which must be counted already."""
-        self._give(self._start(run, payload, saved, ticket))
+        self._spawn(self._start(run, payload, saved, ticket))
 
     def stop(self, run: Run, reason: str) -> None:
         """Give the order to stop a run."""
         if run.status is RunStatus.STOPPING:
             return
-        self._record(
+        self._log_event(
             "stop",
             job=run.key.job_id,
             task=run.key.name_in_job,
@@ -286,12 +286,12 @@
         )
         run.status = RunStatus.STOPPING
         run.stop_answered_at = None
-        self._give(self._stop(run))
+        self._spawn(self._stop(run))
 
     def pace(self, run: Run, percent: int) -> None:
         """Let a run work at a share of its speed."""
         run.pace = percent
-        self._give(self._pace(run, percent))
+        self._spawn(self._pace(run, percent))
 
     def lease_until_ms(self) -> int | None:
         """Return the end of the lease on the worker's clock, or None without a basis.
@@ -308,20 +308,20 @@
         if end - asyncio.get_running_loop().time() < LEASE_MARGIN_S:
             return None
         self.lease_bound = max(self.lease_bound, end)
-        return self._clock_ms + int(CLOCK_RATE * left_s * 1000)
+        return self._clock_ms + int(MIN_CLOCK_RATE * left_s * 1000)
 
-    def note_clock(self, clock_ms: int) -> None:
+    def set_clock(self, clock_ms: int) -> None:
         """Keep the worker's clock as read from a response."""
         self._clock_ms = clock_ms
         self._clock_at = asyncio.get_running_loop().time()
 
-    async def _keep(self) -> None:
+    async def _renew_lease(self) -> None:
         loop = asyncio.get_running_loop()
         failures = 0
         while True:
             sent_at = loop.time()
             wait_ms = RENEW_WAIT_MS
-            if not self.is_touched:
+            if not self.has_answered:
                 wait_ms = 0
             elif any(
                 run.status in (RunStatus.OPEN, RunStatus.STOPPING)
@@ -341,7 +341,7 @@
             except errors.ClementinesparError as error:
                 failures += 1
                 if failures in (1, 10):
-                    self._record(
+                    self._log_event(
                         "worker_silent",
                         worker=self.entry.worker_id,
                         code=int(error.code),
@@ -349,8 +349,8 @@
                         open_runs=len(self.runs),
                         error=error.message,
                     )
-                self._events.on_silent(self)
-                self._drop_lapsed()
+                self._events.on_unresponsive(self)
+                self._drop_lapsed_runs()
                 await asyncio.sleep(RETRY_DELAY_S if failures < 20 else 0.5)
                 continue
             if report is None:
@@ -358,12 +358,12 @@
                 await asyncio.sleep(0.5)
                 continue
             if failures:
-                self._note_return(failures)
+                self._record_return(failures)
             failures = 0
             self._apply(report, sent_at)
             await asyncio.sleep(RENEW_SPACING_S)
 
-    def _note_return(self, failures: int) -> None:
+    def _record_return(self, failures: int) -> None:
         """Keep new work for a while from a worker that goes and comes repeatedly."""
         now = asyncio.get_running_loop().time()
         self._returns = [at for at in self._returns if now - at < FLAP_WINDOW_S]
@@ -372,14 +372,14 @@
             pause_s = min(FLAP_PAUSE_MAX_S, 2.0 ** (len(self._returns) - 1))
             self.ejected_until = max(self.ejected_until, now + pause_s)
         self._returns.append(now)
-        self._record(
+        self._log_event(
             "worker_back",
             worker=self.entry.worker_id,
             failures=failures,
             pause_s=pause_s,
         )
 
-    def _drop_lapsed(self) -> None:
+    def _drop_lapsed_runs(self) -> None:
         """Release runs of a silent worker once its lease has certainly ended."""
         now = asyncio.get_running_loop().time()
         if now < self.lease_bound + LEASE_MARGIN_S:
@@ -387,15 +387,15 @@
         for run in list(self.runs.values()):
             if run.status is not RunStatus.STARTING:
                 self.drop_run(run)
-                self._events.on_gone(self, run, "lease ended on a silent worker")
+                self._events.on_run_gone(self, run, "lease ended on a silent worker")
 
     def _apply(self, report: model.WorkerReport, sent_at: float) -> None:
-        self.note_clock(report.clock_ms)
+        self.set_clock(report.clock_ms)
         now = asyncio.get_running_loop().time()
         self.last_contact = now
         if report.born_ms != self.born_ms:
             if self.born_ms:
-                self._record(
+                self._log_event(
                     "worker_reborn",
                     worker=self.entry.worker_id,
                     born_ms=report.born_ms,
@@ -440,14 +440,14 @@
             for run in list(self.runs.values()):
                 if (run.key, run.number) not in listed:
                     self._settle_unlisted(run, sent_at)
-        self.is_touched = True
+        self.has_answered = True
         for run in self.runs.values():
             if (
                 run.status is RunStatus.STOPPING
                 and run.stop_answered_at is None
                 and not run.is_stop_in_flight
             ):
-                self._give(self._stop(run))
+                self._spawn(self._stop(run))
         self._events.on_contact(self)
 
     def _settle_unlisted(self, run: Run, sent_at: float) -> None:
@@ -455,16 +455,16 @@
             self.stop(run, "the start has no answer and is not listed")
         elif run.status is RunStatus.RUNNING and run.answered_at < sent_at:
             self.drop_run(run)
-            self._events.on_gone(self, run, "no longer listed")
+            self._events.on_run_gone(self, run, "no longer listed")
         elif (
             run.status is RunStatus.STOPPING
             and run.stop_answered_at is not None
             and run.stop_answered_at < sent_at
         ):
             self.drop_run(run)
-            self._events.on_gone(self, run, "stopped before it started")
+            self._events.on_run_gone(self, run, "stopped before it started")
 
-    def _give(self, order: Coroutine[None, None, None]) -> None:
+    def _spawn(self, order: Coroutine[None, None, None]) -> None:
         task = asyncio.create_task(order)
         self._orders.add(task)
         task.add_done_callback(self._orders.discard)
@@ -482,13 +482,15 @@
             answer = await self._client.start(self.entry, order)
         except errors.ClementinesparError as error:
             if error.code is codes.ResultCode.CALL_NOT_SENT:
-                self.last_contact = min(self.last_contact, loop.time() - SILENT_AFTER_S)
+                self.last_contact = min(
+                    self.last_contact, loop.time() - UNRESPONSIVE_AFTER_S
+                )
                 self._abandon(run, error.message)
                 return
             run.answered_at = loop.time()
             if run.status is RunStatus.STARTING:
                 run.status = RunStatus.OPEN
-            self._record(
+            self._log_event(
                 "start_unanswered",
                 job=run.key.job_id,
                 task=run.key.name_in_job,
@@ -498,7 +500,7 @@
             )
             return
         if answer.clock_ms is not None:
-            self.note_clock(answer.clock_ms)
+            self.set_clock(answer.clock_ms)
         run.answered_at = loop.time()
         run.percent_at = run.answered_at
         if answer.result is model.StartResult.STARTED:
@@ -516,7 +518,7 @@
 
     def _abandon(self, run: Run, reason: str) -> None:
         if self.drop_run(run):
-            self._events.on_gone(self, run, reason)
+            self._events.on_run_gone(self, run, reason)
 
     async def _stop(self, run: Run) -> None:
         run.is_stop_in_flight = True
@@ -526,7 +528,7 @@
             else:
                 self._events.on_fenced()
         except errors.ClementinesparError as error:
-            self._record(
+            self._log_event(
                 "stop_unanswered",
                 job=run.key.job_id,
                 run=run.number,
@@ -544,14 +546,14 @@
         except errors.ClementinesparError as error:
             # The next report shows the tail again, and the order is given anew.
             run.pace = -1
-            self._record(
+            self._log_event(
                 "pace_unanswered",
                 job=run.key.job_id,
                 worker=self.entry.worker_id,
                 code=int(error.code),
             )
 
-    def note_outcome(self, job_id: str, is_failure: bool) -> bool:
+    def record_outcome(self, job_id: str, is_failure: bool) -> bool:
         """Count an outcome; True if the worker is ejected by it."""
         if not is_failure:
             self.failed_jobs.clear()
--- a/clementinespar/jobs/worker_use.py
+++ b/clementinespar/jobs/worker_use.py
@@ -9,7 +9,7 @@
 import json
 
 ANY_WORKER = ""  # stands for all, if the record is unreadable
-LEFT_INTERVAL_S = 1.0  # between records of the time that former leases have left
+RECORD_INTERVAL_S = 1.0  # between records of the time that former leases have left
 
 
 class WorkerUse:
@@ -19,34 +19,40 @@
     in_use: set[str]  # workers on which a run of this owner may execute
     stored: set[str]  # workers that the store knows to be in use by this owner
     _unreached: set[str]  # used by the former owner, and not called long enough yet
-    _told: set[str]  # workers in use by the newest record, which may not be stored yet
-    _ends: dict[str, float]  # worker id: event-loop time at which former leases end
-    _told_at: float  # event-loop time
+    _recorded: set[
+        str
+    ]  # workers in use by the newest record, which may not be stored yet
+    _lease_ends: dict[
+        str, float
+    ]  # worker id: event-loop time at which former leases end
+    _recorded_at: float  # event-loop time
 
     def __init__(self) -> None:
         self.answered = set()
         self.in_use = set()
         self.stored = set()
         self._unreached = set()
-        self._told = set()
-        self._ends = {}
-        self._told_at = 0.0
+        self._recorded = set()
+        self._lease_ends = {}
+        self._recorded_at = 0.0
 
     @property
-    def former_count(self) -> int:
+    def previous_worker_count(self) -> int:
         """Number of workers on which a former lease may last."""
-        return len(self._ends)
+        return len(self._lease_ends)
 
-    def former_end(self, worker_id: str) -> float:
+    def previous_lease_end(self, worker_id: str) -> float:
         """Return the event-loop time at which former leases on a worker have ended."""
-        return max(self._ends.get(worker_id, 0.0), self._ends.get(ANY_WORKER, 0.0))
+        return max(
+            self._lease_ends.get(worker_id, 0.0), self._lease_ends.get(ANY_WORKER, 0.0)
+        )
 
     def is_settled(self) -> bool:
         """Whether no worker can still execute what a former owner started unseen."""
         now = asyncio.get_running_loop().time()
         return all(
             now > end or worker_id in self.answered
-            for worker_id, end in self._ends.items()
+            for worker_id, end in self._lease_ends.items()
         )
 
     def is_due(self) -> bool:
@@ -54,11 +60,11 @@
         if self.in_use | self._unreached != self.stored:
             return True
         now = asyncio.get_running_loop().time()
-        return bool(self._ends) and now - self._told_at > LEFT_INTERVAL_S
+        return bool(self._lease_ends) and now - self._recorded_at > RECORD_INTERVAL_S
 
     def wait_for_all(self, fenced_at: float, lease_s: float) -> None:
         """Expect leases everywhere, as the former owner's record is unreadable."""
-        self._ends[ANY_WORKER] = fenced_at + lease_s
+        self._lease_ends[ANY_WORKER] = fenced_at + lease_s
 
     def restore(self, value: bytes, fenced_at: float, lease_s: float) -> None:
         """Read the former owner's record.
@@ -80,17 +86,17 @@
         ValueError, KeyError, TypeError, AttributeError
             The record is unreadable.
         """
-        told = json.loads(value)
+        fields = json.loads(value)
         ends = {
             str(worker_id): fenced_at + float(left_s)
-            for worker_id, left_s in told["former"].items()
+            for worker_id, left_s in fields["former"].items()
         }
-        self._unreached = {str(worker_id) for worker_id in told["used"]}
+        self._unreached = {str(worker_id) for worker_id in fields["used"]}
         for worker_id in self._unreached:
             ends[worker_id] = fenced_at + lease_s
-        self._ends = ends
+        self._lease_ends = ends
         self.stored = set(self._unreached)
-        self._told_at = fenced_at
+        self._recorded_at = fenced_at
 
     def encode(self) -> bytes:
         """Return the record for the next owner.
@@ -99,22 +105,22 @@
         its former leases. It gets no lease from here on until it is stored again.
         """
         now = asyncio.get_running_loop().time()
-        if now - self._told_at > LEFT_INTERVAL_S:
+        if now - self._recorded_at > RECORD_INTERVAL_S:
             self._unreached = set()
-            self._told_at = now
-        for worker_id, end in list(self._ends.items()):
+            self._recorded_at = now
+        for worker_id, end in list(self._lease_ends.items()):
             if now > end or worker_id in self.answered:
-                del self._ends[worker_id]
-        self._told = self.in_use | self._unreached
-        self.stored &= self._told
-        former = {
+                del self._lease_ends[worker_id]
+        self._recorded = self.in_use | self._unreached
+        self.stored &= self._recorded
+        previous_leases = {
             worker_id: round(end - now, 3)
-            for worker_id, end in sorted(self._ends.items())
-            if worker_id not in self._told
+            for worker_id, end in sorted(self._lease_ends.items())
+            if worker_id not in self._recorded
         }
-        told = {"used": sorted(self._told), "former": former}
-        return json.dumps(told, separators=(",", ":")).encode()
+        fields = {"used": sorted(self._recorded), "former": previous_leases}
+        return json.dumps(fields, separators=(",", ":")).encode()
 
-    def note_stored(self) -> None:
+    def mark_stored(self) -> None:
         """Note that the newest record is stored."""
-        self.stored = set(self._told)
+        self.stored = set(self._recorded)
