--- a/clementinespar/jobs/__init__.py
+++ b/clementinespar/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs on workers: intake, ownership, placement, leases, lasting work and upkeep."""
+"""Jobs on workers: submission, ownership, placement, leases and maintenance."""
--- a/clementinespar/jobs/advice.py
+++ b/clementinespar/jobs/advice.py
@@ -1,21 +1,21 @@
-"""Tickets of the adviser for the steps that need them."""
+"""Tickets that the adviser issues for steps of jobs that need them."""
 
 import asyncio
 
 from clementinespar import errors
 from clementinespar.jobs import model, services, state
 
-MAX_WORKERS_PER_REQUEST = 100  # that one question may name
-VALIDITY_SHARE = 0.8  # of a ticket's time; a start takes some of it
+MAX_WORKERS_PER_REQUEST = 100
+VALIDITY_SHARE = 0.8  # of a ticket's time in which it is used; a start takes the rest
 RETRY_S = 0.25
-NO_WORKER_RETRY_S = 1.0  # until a step that found no worker asks again
+NO_WORKER_RETRY_S = 1.0  # until the next request after one that no worker passed
 
 
 class TicketCache:
-    """Asks one question at a time, as the adviser serves one for each machine.
+    """Tickets of one owner; requests them one at a time.
 
-    The owner of a pool asks for a step when it would place it; `usable` is empty until
-    the answer has come.
+    The adviser serves one request for each machine at a time. A request is sent when
+    the owner would place a step; `find_valid` returns nothing until it is answered.
     """
 
     _tickets: dict[tuple[str, int, int], dict[str, tuple[str, float]]]
@@ -40,7 +40,7 @@
     def find_valid(
         self, step: state.StepState, worker_ids: list[str]
     ) -> dict[str, str]:
-        """Return valid tickets by worker id; asks for them if there are none."""
+        """Return valid tickets by worker id; if there are none, request them."""
         now = asyncio.get_running_loop().time()
         key = step.tasks[0].key
         name = (key.job_id, key.occurrence, key.step)
@@ -68,13 +68,13 @@
         self._tickets.get(name, {}).pop(worker_id, None)
 
     def drop_job(self, job_id: str) -> None:
-        """Forget everything about a job."""
+        """Drop all tickets of a job."""
         for cache in (self._tickets, self._next_request_at):
             for name in [name for name in cache if name[0] == job_id]:
                 cache.pop(name, None)
 
     def close(self) -> None:
-        """End open questions."""
+        """Cancel pending requests."""
         for request in self._requests:
             request.cancel()
 
--- a/clementinespar/jobs/capacity.py
+++ b/clementinespar/jobs/capacity.py
@@ -1,52 +1,54 @@
-"""Which hosts change their pool, so that capacity follows the peaks.
+"""Moves of hosts between pools, so that capacity follows the peaks of demand.
 
-Peaks come by turns: each queue in its time asks for several times its mean for some
-seconds. A move takes a few seconds, longer than the slack of short jobs, so a pool
-keeps its home size until its turn has come. After its turn the others come first, and
-its idle hosts serve them or rest in the spare pool, where they cost nothing.
+The queues peak one after another: each demands several times its mean for some seconds.
+A move takes a few seconds, longer than the slack of short jobs, so a pool keeps its
+home size until its peak. After its peak the other pools have priority, and its idle
+hosts move to them or to the spare pool, where they cost nothing.
 """
 
 import dataclasses
 import math
 
-PEAK_SHARE = 0.55  # use of the home size above which a pool has its turn
-QUIET_SHARE = 0.3  # use below which the turn is over
-QUIET_S = 1.2  # for this long
+# Shares of the capacity of a pool's home size.
+PEAK_SHARE = 0.55  # use above which a peak begins
+QUIET_SHARE = 0.3  # use below which a peak ends after `QUIET_S`
+QUIET_S = 1.2
 HEADROOM = 1.15  # capacity for each unit of demand, since tasks do not pack fully
-MAX_PEAK_SHARE = 2.5  # of its home size, the most hosts that a pool gets at its peak
-KEPT_SHARE = 0.5  # of its home size, kept before its turn while another pool lacks
-NEED_WINDOW_S = 3.0  # a need for hosts is kept this long, as arrivals come unevenly
-SPARE_HOSTS = 1  # idle hosts that a pool keeps beyond its demand after its turn
+# Shares of the number of hosts of a pool's home size.
+MAX_PEAK_SHARE = 2.5  # most hosts that a pool gets at its peak
+KEPT_SHARE = 0.5  # kept before its peak while another pool lacks hosts
+NEED_WINDOW_S = 3.0  # the need for hosts is the maximum over this time: arrivals vary
+SPARE_HOSTS = 1  # idle hosts that a pool keeps beyond its demand after its peak
 
 
 @dataclasses.dataclass(slots=True)
 class PoolView:
-    """What is known of one pool."""
+    """Hosts and demand of one pool."""
 
     name: str
     is_spare: bool
     host_cores: float  # of one host
-    hosts: int  # up, arriving or back from upkeep in a moment
+    hosts: int  # up, arriving or in maintenance, which is short
     used_cores: float = 0.0
-    waiting_cores: float = 0.0  # of work that can still be in time
-    arriving_cores: float = 0.0  # core-seconds of work that arrive in a second
+    waiting_cores: float = 0.0  # of work that can still meet its objective
+    arriving_cores: float = 0.0  # core-seconds of work that arrive per second
     lasting_cores: float = 0.0
     movable: list[str] = dataclasses.field(default_factory=list)  # ids of idle hosts
 
 
 @dataclasses.dataclass(slots=True)
 class PeakState:
-    """Memory of one pool's peaks; event-loop times."""
+    """State of the peaks of one pool; times are event-loop times."""
 
     home_hosts: int
     is_peaking: bool = False
     quiet_since: float | None = None
     peak_ended_at: float | None = None
-    is_resting: bool = False  # the other pools have their turns first
+    is_resting: bool = False  # its peak is over, so the other pools have priority
     needs: list[tuple[float, int]] = dataclasses.field(default_factory=list)
 
     def max_recent_need(self, needed: int, now: float) -> int:
-        """Return the largest number of hosts needed within `HOLD_S`."""
+        """Add a need; return the largest number needed within `NEED_WINDOW_S`."""
         self.needs = [(at, n) for at, n in self.needs if now - at < NEED_WINDOW_S]
         self.needs.append((now, needed))
         return max(n for _, n in self.needs)
@@ -54,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Move:
-    """A host that shall change its pool."""
+    """A move of a host to another pool."""
 
     host_id: str
     source: str
@@ -62,16 +64,16 @@
 
 
 def demand_cores(view: PoolView) -> float:
-    """Return the cores that a pool needs at once.
+    """Return the number of cores that a pool needs now.
 
-    The rate of arrivals counts, not the backlog: what waits now is late before a host
-    arrives.
+    The rate of arrivals counts, not the backlog: work that waits now is late before a
+    host arrives.
     """
     return max(view.used_cores, view.lasting_cores + view.arriving_cores)
 
 
 def update_peak(peak: PeakState, view: PoolView, now: float) -> None:
-    """Note whether a pool has its turn."""
+    """Update whether a pool is at its peak."""
     home_cores = max(1.0, peak.home_hosts * view.host_cores)
     use = demand_cores(view) / home_cores
     if use > PEAK_SHARE:
@@ -88,10 +90,10 @@
 
 
 def update_resting(peaks: dict[str, PeakState]) -> None:
-    """Note which pools may give hosts away.
+    """Update which pools are resting and may give away hosts of their home size.
 
-    A pool rests after its turn. Once no pool is left that has not had its turn, the one
-    whose turn ended first is the next, and gets its home size back.
+    A pool rests after its peak. Once every pool has had its peak, the one whose peak
+    ended first is expected to peak next, and gets its home size back.
     """
     for peak in peaks.values():
         peak.is_resting = not peak.is_peaking and peak.peak_ended_at is not None
@@ -111,7 +113,7 @@
 
 
 def wanted_hosts(peak: PeakState, view: PoolView, now: float) -> int:
-    """Return the number of hosts that a pool shall have if no other lacks any."""
+    """Return the number of hosts that a pool should have if no other lacks any."""
     needed = needed_hosts(peak, view)
     if peak.is_peaking:
         recent_need = peak.max_recent_need(needed, now)
@@ -128,8 +130,8 @@
 def kept_hosts(peak: PeakState, view: PoolView) -> int:
     """Return the number of hosts that a pool keeps while another lacks some.
 
-    A pool whose turn has not come lends a part of its home size: what another pool
-    lacks now counts more than a slower begin of its own turn.
+    A pool before its peak lends a part of its home size: what another pool lacks now
+    counts more than a slower start of its own peak.
     """
     needed = needed_hosts(peak, view) + SPARE_HOSTS
     if peak.is_peaking or peak.is_resting:
@@ -146,8 +148,8 @@
     ----------
     views : list of PoolView
         All pools.
-    turns : dict of str to TurnState
-        Memory by pool name; changed in place.
+    peaks : dict of str to PeakState
+        State of the peaks by pool name; changed in place.
     now : float
         Event-loop time in seconds.
     """
@@ -177,7 +179,8 @@
             lent.extend(
                 (host_id, view.name) for host_id in view.movable[surplus_count:lendable]
             )
-    # Hosts of other pools are taken first: those in the spare pool cost nothing.
+    # Hosts that other pools do not need are moved first, since hosts in the spare pool
+    # cost nothing.
     sources = surplus + [
         (host_id, view.name) for view in spare_pools for host_id in view.movable
     ]
--- a/clementinespar/jobs/demand.py
+++ b/clementinespar/jobs/demand.py
@@ -1,10 +1,10 @@
-"""What an owner learns of its work: run times by image, and the rate of arrivals."""
+"""Measured demand on an owner: run times by image, and the rate of arriving work."""
 
 import math
 
 from clementinespar.jobs import model
 
-NEWEST_WEIGHT = 0.15  # weight of the newest run time
+NEWEST_WEIGHT = 0.15  # weight of the newest run time in the mean
 RATE_WINDOW_S = 0.8  # time constant of the arrival rate
 
 
@@ -17,7 +17,7 @@
         self._mean_ms_by_image = {}
 
     def add(self, spec: model.StepSpec, took_ms: float) -> None:
-        """Learn from a task that ended as done."""
+        """Add the run time of a task that ended as done, in ms."""
         if not spec.image:
             return
         mean = self._mean_ms_by_image.get(spec.image, spec.estimate_ms or took_ms)
@@ -29,7 +29,7 @@
 
 
 class ArrivalRate:
-    """Decaying average of arriving work, in core-seconds for each second."""
+    """Exponentially decaying rate of arriving work, in core-seconds per second."""
 
     _rate: float
     _updated_at: float
@@ -39,10 +39,10 @@
         self._updated_at = 0.0
 
     def add(self, core_seconds: float, now: float) -> None:
-        """Count work that arrived now."""
+        """Add work that arrives now."""
         self._rate = self.read(now) + core_seconds / RATE_WINDOW_S
         self._updated_at = now
 
     def read(self, now: float) -> float:
-        """Return the rate at a time."""
+        """Return the rate at an event-loop time."""
         return self._rate * math.exp((self._updated_at - now) / RATE_WINDOW_S)
--- a/clementinespar/jobs/fenced_log.py
+++ b/clementinespar/jobs/fenced_log.py
@@ -1,4 +1,4 @@
-"""Appends of one owner to its partition, in their order, each until it is stored."""
+"""Appends of one owner to its partition, in order, each retried until it is stored."""
 
 import asyncio
 from collections.abc import Sequence
@@ -8,7 +8,7 @@
 
 
 class FencedLog:
-    """Numbers the appends of one epoch, so that the store knows a repetition.
+    """Numbers the appends of one epoch, so that the store recognizes a repeated one.
 
     Parameters
     ----------
@@ -38,7 +38,7 @@
         self._append_lock = asyncio.Lock()
 
     async def append(self, records: Sequence[services.KeyedRecord]) -> None:
-        """Append records; repeats until the store has answered.
+        """Append records; retries until the store has answered.
 
         Raises
         ------
--- a/clementinespar/jobs/fleet.py
+++ b/clementinespar/jobs/fleet.py
@@ -1,8 +1,8 @@
-"""Waves of upkeep and moves of hosts, decided by one node for all pools.
+"""Waves of maintenance and moves of hosts, decided by one node for all pools.
 
-The platform checks no fence on hosts here, so a new holder waits until the former one
-has certainly stopped before it gives its first order. An order is given only to a host
-whose worker the owner of its pool has freed.
+The platform does not check fences on orders to hosts, so a new owner of the fleet waits
+until the previous one has certainly stopped before it gives its first order. An order
+is given only for a host whose worker the owner of its pool has freed.
 """
 
 import asyncio
@@ -23,26 +23,29 @@
 )
 
 TICK_S = 0.25
-PREVIOUS_OWNER_MARGIN_S = 0.6  # a former holder learns of its loss by its next join
+PREVIOUS_OWNER_MARGIN_S = 0.6  # the previous owner notices its loss by its next join
 CONFIRMATION_MAX_AGE_S = 1.2  # no order without a recent confirmation of ownership
-# An evacuation that is not asked for again ends after this; a slow platform may carry
-# the order out seconds after the worker was found free.
+# An evacuation that is not requested again ends after this. A slow platform may carry
+# the order out seconds after the worker was found to be free.
 EVACUATION_TTL_S = 6.0
-URGENT_AFTER_S = 3.0  # short work is stopped when an evacuation takes this long
-MAX_LEAVING_SHARE = 0.25  # of a pool's hosts that may be on their way out at once
+URGENT_AFTER_S = 3.0  # short runs are stopped when an evacuation takes this long
+# Of a pool's hosts, that may leave at once; doubled near the deadline of a wave.
+MAX_LEAVING_SHARE = 0.25
 ARRIVAL_LIMIT_S = 6.0  # a moved host that is not up by then is not counted
 LOG_INTERVAL_S = 2.0
 DEFAULT_HOST_CORES = 16.0  # until a worker of the pool is known
-HOST_RETURN_S = 0.8  # a host's new worker appears this long after its upkeep
+HOST_RETURN_S = 0.8  # a host's new worker registers this long after its maintenance
 
 
 @dataclasses.dataclass(slots=True)
 class _WaveProgress:
-    """How far one wave is."""
+    """Progress of one wave; all times are event-loop times."""
 
     wave: model.MaintenanceWave
-    asked_at: float  # event-loop time
+    asked_at: float  # when this owner first saw the wave
+    # Ids of hosts whose maintenance has begun.
     begun: set[str] = dataclasses.field(default_factory=set)
+    # By host id.
     ordered_at: dict[str, float] = dataclasses.field(default_factory=dict)
     evacuating_since: dict[str, float] = dataclasses.field(default_factory=dict)
     is_reported: bool = False
@@ -50,13 +53,13 @@
 
 
 class FleetOwner:
-    """The one holder of orders to hosts; made by `own_fleet`."""
+    """The owner of the fleet partition, which alone gives orders to hosts."""
 
     epoch: int
-    is_lost: bool  # a later holder was here
+    is_lost: bool  # the store has seen a later owner
     _waves: dict[int, _WaveProgress]
     _peaks: dict[str, capacity.PeakState]
-    _arriving: dict[str, tuple[str, float]]  # host id: its new pool and since when
+    _arriving: dict[str, tuple[str, float]]  # host id: its new pool and time of order
     _logged_at: float
     _log: fenced_log.FencedLog
 
@@ -93,7 +96,7 @@
         )
 
     async def run(self) -> None:
-        """Load what former holders did, wait for the last to stop, then act."""
+        """Load stored state, wait until the previous owner has stopped, then act."""
         loop = asyncio.get_running_loop()
         acts_from = loop.time() + self._holder_lease_s + PREVIOUS_OWNER_MARGIN_S
         begun_by_wave: dict[int, set[str]] = {}
@@ -153,7 +156,7 @@
     async def _move_hosts_to_demand(
         self, hosts_by_id: dict[str, model.HostEntry]
     ) -> None:
-        """Move idle hosts to where work waits, or to rest."""
+        """Move idle hosts to pools that lack hosts, or to the spare pool."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         configuration = self._configuration.current
@@ -179,7 +182,7 @@
                 self._peaks[pool.name] = capacity.PeakState(home)
             view = await self._build_pool_view(pool, hosts_by_id, leaving)
             if view is None:
-                return  # the owner of the pool cannot be asked now
+                return  # the owner of the pool did not answer
             views.append(view)
         before = self._encode_peaks()
         moves = capacity.plan_moves(views, self._peaks, now)
@@ -261,7 +264,7 @@
                 move.host_id, move.destination, self.epoch
             )
         except errors.ClementinesparError as error:
-            # The host may be on its way; the next lists of hosts show it.
+            # The move may have started; the next lists of hosts show whether it has.
             self._log_event(
                 "host_move_unanswered", host=move.host_id, code=int(error.code)
             )
@@ -277,7 +280,7 @@
             del self._arriving[move.host_id]
 
     def _describe_peak(self, pool: str) -> str:
-        """Return a word for the log."""
+        """Return the state of a pool in one word, for the log."""
         peak = self._peaks.get(pool)
         if peak is None:
             return "spare"
@@ -286,7 +289,7 @@
         return "resting" if peak.is_resting else "home"
 
     def _encode_peaks(self) -> dict[str, object]:
-        """Return what the next holder needs to know of the peaks."""
+        """Return the state of the peaks to store for the next owner."""
         ended = sorted(
             (n for n, peak in self._peaks.items() if peak.peak_ended_at is not None),
             key=lambda n: self._peaks[n].peak_ended_at or 0.0,
@@ -305,7 +308,7 @@
             self._peaks[name] = capacity.PeakState(
                 home_hosts=int(stored["home"]),
                 is_peaking=bool(stored["peaking"]),
-                # Only the order of the ends matters.
+                # Only the order in which the peaks ended matters.
                 peak_ended_at=now + 1e-3 * stored["rank"]
                 if stored["rank"] >= 0
                 else None,
@@ -369,7 +372,7 @@
         down: set[str],
         hosts_by_id: dict[str, model.HostEntry],
     ) -> None:
-        """Start the evacuation of as many hosts as each pool can miss."""
+        """Start evacuating as many hosts as the wave and each pool allow at once."""
         loop = asyncio.get_running_loop()
         size_by_pool: dict[str, int] = {}
         out_by_pool: dict[str, int] = {}
@@ -452,13 +455,13 @@
         await self._store_record(f"wave{number}", sorted(progress.begun))
 
     async def _store_record(self, key: str, value: object) -> None:
-        """Store a record under the holder's epoch; repeats until it is answered."""
+        """Store a record under the epoch of this owner; retries until it is stored."""
         entry = services.KeyedRecord(key, json.dumps(value).encode())
         await self._log.append([entry])
 
 
 @contextlib.asynccontextmanager
 async def own_fleet(owner: FleetOwner) -> AsyncIterator[FleetOwner]:
-    """Run the holder while the context is entered."""
+    """Run an owner of the fleet inside the context."""
     async with background.running(owner.run()):
         yield owner
--- a/clementinespar/jobs/model.py
+++ b/clementinespar/jobs/model.py
@@ -1,11 +1,11 @@
-"""Data of jobs, queues and workers inside the product."""
+"""Data types of jobs, queues, workers and hosts."""
 
 import dataclasses
 import enum
 
 
 class JobState(enum.Enum):
-    """What callers see of a job."""
+    """State of a job as shown to callers."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -21,35 +21,36 @@
     """How a run of a task ended."""
 
     DONE = "done"
-    FAILED = "failed"  # through its own fault or the worker's; counts as an attempt
+    FAILED = "failed"  # a fault of the task or the worker; counts as an attempt
     STOPPED = "stopped"
     LAPSED = "lapsed"  # the lease ended
     BROKEN = "broken"  # another member of the gang ended
-    ALONE = "alone"  # the other members of the gang did not come
+    ALONE = "alone"  # the other members of the gang did not start
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StepSpec:
-    """One step of a job: tasks that are alike."""
+    """One step of a job: identical tasks."""
 
     task_count: int
     cpu_millis: int = 0  # thousandths of a core
     memory_mb: int = 0
     gpus: int = 0
-    estimate_ms: int = 0  # rough run time of one task
+    estimate_ms: int = 0  # estimated run time of one task
     after: tuple[int, ...] = ()  # earlier steps whose tasks must all be done
     has_checkpoints: bool = False
-    is_gang: bool = False  # tasks work only together
+    is_gang: bool = False  # tasks work only while all of them run
     is_same_rack: bool = False
-    label: str = ""  # label that the worker must have
-    data_rack: str = ""  # rack of the data; other racks are slower
+    label: str = ""  # label that the worker must have; empty: none
+    data_rack: str = ""  # rack of the data; the task is slower on other racks
     max_per_worker: int = 0  # 0: no limit
     is_speculative: bool = False  # copies may run in parallel
     is_lasting: bool = False  # runs until the job is cancelled
     image: str = ""
-    latency_target_ms: int = 0  # bound of the tail of a serving task; 0: none
-    is_filler: bool = False  # takes only the capacity that others leave
-    may_miss: int | None = None  # lasting tasks that may be away through our actions
+    latency_target_ms: int = 0  # bound of a serving task's tail latency; 0: none
+    is_filler: bool = False  # uses only CPU that other tasks leave free
+    # Lasting tasks of the step that we may take down at once; None: no limit.
+    may_miss: int | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -59,17 +60,18 @@
     job_id: str
     queue: str
     pool: str  # pool of the queue when the job was submitted
-    payload: str  # opaque text that each task receives
+    payload: str  # opaque text passed to each task
     steps: tuple[StepSpec, ...]
     first_due_ms: int = 0  # Unix ms of the first occurrence
     period_ms: int = 0
-    occurrences: int = 0  # 0: runs once, at once
+    occurrences: int = 0  # 0: runs once, without a due time
     accepted_ms: int = 0  # Unix ms
     max_attempts: int = 1
     priority: int = 0  # lower goes first
+    # The objective: `stretch` times the estimated duration, plus `objective_ms`.
     stretch: float = 1.0
     objective_ms: int = 0
-    needs_advice: bool = False  # only workers that the adviser names may run it
+    needs_advice: bool = False  # runs only on workers with a ticket of the adviser
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -120,7 +122,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """What a worker says of itself."""
+    """A worker as it registers itself."""
 
     worker_id: str
     pool: str
@@ -152,18 +154,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunningTask:
-    """A run in a worker's list."""
+    """A run that a worker lists as executing."""
 
     task: TaskKey
     run: int
     saved: str
     percent: int
-    usage: int  # tail in ms for a serving task, else thousandths of a core
+    usage: int  # tail latency in ms of a serving task, else thousandths of a core
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndedTask:
-    """An end in a worker's list."""
+    """The end of a run that a worker lists until it is acknowledged."""
 
     number: int
     task: TaskKey
@@ -186,19 +188,19 @@
     """Answer of a worker to a start."""
 
     STARTED = "started"
-    FENCED = "fenced"  # a later owner was here
-    STALE_RUN = "stale_run"  # the run is not above one stopped or ended there
-    LEASE_LATE = "lease_late"  # the lease had ended when the order arrived
+    FENCED = "fenced"  # the worker has seen a later owner
+    STALE_RUN = "stale_run"  # a run of this number or a higher one has ended there
+    LEASE_LATE = "lease_late"  # the lease had ended before the order arrived
     NO_ROOM = "no_room"
     NO_TICKET = "no_ticket"
     INVALID = "invalid"
-    UNHEALTHY = "unhealthy"  # nothing was done
+    UNHEALTHY = "unhealthy"  # the worker cannot start runs now; nothing was done
     WRONG_INSTANCE = "wrong_instance"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartAnswer:
-    """Result of a start and the worker's clock, if told."""
+    """Result of a start, and the worker's clock if the answer has it."""
 
     result: StartResult
     clock_ms: int | None
@@ -214,20 +216,20 @@
     lease_until_ms: int  # on the worker's clock
     fence: int
     saved: str
-    ticket: str = ""  # of the adviser; empty: none is needed
+    ticket: str = ""  # issued by the adviser; empty: none is needed
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class IssuedTickets:
-    """Workers that may run a step."""
+    """Tickets for the workers that may run a step."""
 
     tickets_by_worker: dict[str, str]
-    valid_s: float  # for all tasks of the step, in one life of the worker
+    valid_s: float  # for all tasks of the step, unless the worker restarts
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostEntry:
-    """A host of the platform's list of hosts."""
+    """A host as the platform lists it."""
 
     host_id: str
     pool: str
@@ -238,16 +240,16 @@
 
 
 class EvacuationUrgency(enum.Enum):
-    """What a worker may lose so that its host can be taken away."""
+    """What an evacuation of a worker may interrupt."""
 
-    IF_IDLE = "if_idle"  # nothing: a worker with runs stays in use
-    DRAIN = "drain"  # new work
-    STOP = "stop"  # short work that runs, with its checkpoints
+    IF_IDLE = "if_idle"  # nothing: a worker with runs is not evacuated
+    DRAIN = "drain"  # no short runs: the worker gets no new work
+    STOP = "stop"  # short runs as well; they start again from their checkpoints
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MaintenanceWave:
-    """A wave of upkeep that the operators ask for."""
+    """A wave of maintenance that operators request."""
 
     number: int
     host_ids: tuple[str, ...]
--- a/clementinespar/jobs/node.py
+++ b/clementinespar/jobs/node.py
@@ -1,4 +1,4 @@
-"""Assembles the parts of a node for jobs."""
+"""Assembles the components of a node for jobs."""
 
 import asyncio
 import contextlib
@@ -17,14 +17,12 @@
     telemetry,
 )
 
-STORE_ANSWER_MAX_AGE_S = (
-    4.0  # a node that has not reached the store for longer is not ready
-)
+STORE_ANSWER_MAX_AGE_S = 4.0  # a node is not ready if the last answer is older
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformParts:
-    """What the platform provides, behind the product's protocols."""
+    """Services of the platform that a node uses."""
 
     store: services.JobStore
     group: services.OwnershipGroup
@@ -37,7 +35,7 @@
 
 
 class JobNode:
-    """One running node; made by `run_node`."""
+    """A node; started by `run_node`."""
 
     jobs: service.JobService
     ownership_manager: ownership.OwnershipManager
@@ -105,7 +103,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the balancer may send callers here."""
+        """Whether the balancer may route callers to this node."""
         reached = self.ownership_manager.reached_at
         now = asyncio.get_running_loop().time()
         return (
@@ -116,7 +114,7 @@
         )
 
     def wanted_partitions(self) -> frozenset[int]:
-        """Return the partitions that hold a pool of the configuration."""
+        """Return the partitions to which pools of the configuration belong."""
         configuration = self._parts.configuration.current
         if configuration is None:
             return frozenset()
@@ -125,7 +123,7 @@
         )
 
     def needs_directory(self) -> bool:
-        """Whether this node owns a pool and so must know its workers."""
+        """Whether this node owns a partition with pools, so it must know workers."""
         return bool(self.ownership_manager.assigned & self.wanted_partitions())
 
 
@@ -133,7 +131,7 @@
 async def run_node(
     node: JobNode, settings: options.JobNodeSettings
 ) -> AsyncIterator[None]:
-    """Own partitions and answer peers while the context is entered."""
+    """Serve peers and run the ownership manager inside the context."""
     async with contextlib.AsyncExitStack() as stack:
         await stack.enter_async_context(
             peer_server.serve_peers(
--- a/clementinespar/jobs/options.py
+++ b/clementinespar/jobs/options.py
@@ -17,17 +17,17 @@
 
 @pydantic.dataclasses.dataclass(frozen=True, slots=True, config=_CONFIG)
 class NodeSection:
-    """Who this node is."""
+    """Identity, addresses and size of this node."""
 
     name: options.Name
     data_centre: options.Name
     address: options.IpNumber
     callers: options.Endpoint  # where callers connect
-    readiness: options.Endpoint  # where the balancer asks
+    readiness: options.Endpoint  # where the balancer checks readiness
     first_internal_port: options.Port
-    stop_limit_s: options.Seconds = 6.0  # time from a planned stop to the kill
+    stop_limit_s: options.Seconds = 6.0  # time from SIGTERM to the kill
     cpu_share: float = pydantic.Field(default=1.0, gt=0)  # of one core of this machine
-    cores: float = pydantic.Field(default=1.0, gt=0)  # speed of that core, as a factor
+    cores: float = pydantic.Field(default=1.0, gt=0)  # relative speed of that core
 
     @property
     def core_millis(self) -> int:
@@ -40,26 +40,26 @@
     """The store and its limits."""
 
     address: options.Endpoint
-    ownership_min_ms: Milliseconds = 1_000  # shortest time to live of ownership
+    ownership_min_ms: Milliseconds = 1_000  # shortest time to live that the store takes
 
 
 @pydantic.dataclasses.dataclass(frozen=True, slots=True, config=_CONFIG)
 class HostsSection:
-    """The platform's service for hosts."""
+    """The platform's host service."""
 
     address: options.Endpoint
-    holder_lease_ms: Milliseconds = 3_000  # pause between two holders of one host
+    holder_lease_ms: Milliseconds = 3_000  # pause between two lease holders of a host
     upkeep_s: options.Seconds = 2.0
 
 
 @pydantic.dataclasses.dataclass(frozen=True, slots=True, config=_CONFIG)
 class JobsSection:
-    """Bounds of jobs on workers."""
+    """Limits of jobs on workers."""
 
     lease_max_ms: Milliseconds = 6_000
     adviser: Annotated[
         options.Endpoint | None, pydantic.BeforeValidator(lambda text: text or None)
-    ] = None  # empty: no queue needs advice
+    ] = None  # empty: no queue needs tickets
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -81,12 +81,12 @@
 
 
 def load_job_settings(path: pathlib.Path) -> JobNodeSettings:
-    """Read settings; all bad ones are reported at once.
+    """Read the settings; all invalid ones are reported at once.
 
     Raises
     ------
     ExceptionGroup
-        Of `errors.ClementinesparError`, one for each bad setting.
+        Of `errors.ClementinesparError`, one for each invalid setting.
     """
     parser = configparser.ConfigParser(interpolation=None)
     problems: list[Exception] = []
--- a/clementinespar/jobs/ownership.py
+++ b/clementinespar/jobs/ownership.py
@@ -1,7 +1,7 @@
-"""Which partitions this node owns, kept by a group on the store.
+"""Ownership of partitions, assigned by a group on the store.
 
-The confirmation of ownership counts from before the call that got it was sent. Leases
-on workers extend only on the strength of it.
+A confirmation of ownership counts from the time at which its call was sent. Leases on
+workers are renewed only for a limited time after it.
 """
 
 import asyncio
@@ -17,26 +17,27 @@
 FLEET_PARTITION = PARTITION_COUNT - 1  # waves and moves of hosts
 JOIN_INTERVAL_S = 0.4
 OWNERS_MAX_AGE_S = 2.0
-# A small node owns nothing while this many larger ones do; an owner of a busy pool
-# needs about a whole core.
+# A node owns nothing while at least this many larger nodes own partitions: the owner of
+# a busy pool needs about a whole core.
 MIN_LARGER_NODES = 3
-LARGER_NODE_FACTOR = 1.5  # of the own cores
+LARGER_NODE_FACTOR = 1.5  # a larger node has more than this many times the cores
 STANDBY_INTERVAL_S = 1.0
-# Between looks at the sizes while no larger node was seen in as long after the start.
+# Between checks of the sizes of other nodes, once this node has run for as long and no
+# larger node owns a partition; `STANDBY_INTERVAL_S` otherwise.
 SIZE_CHECK_INTERVAL_S = 5.0
 
 
 def format_member(address: str, born_ms: int, core_millis: int) -> str:
-    """Return the name of a member: where it answers, since when, and how large it is.
+    """Return the name of a member: its address, time of start and size.
 
-    A process gets a new name at each start: one that starts again must not pass for the
-    one before, whose orders may still be on their way.
+    A process gets a new name at each start, so that it cannot be taken for the previous
+    process, whose orders may still arrive.
     """
     return f"{address}/{born_ms}/{core_millis}"
 
 
 def parse_core_millis(member: str) -> int:
-    """Return the size in a member's name, 0 if it has none."""
+    """Return the size in the name of a member, or 0 if the name has none."""
     size = member.rpartition("/")[2]
     return int(size) if size.isdigit() else 0
 
@@ -47,10 +48,10 @@
 
 
 class FleetOwnerHandle(Protocol):
-    """The holder of orders to hosts."""
+    """The owner of the fleet partition, which alone gives orders to hosts."""
 
     epoch: int
-    is_lost: bool  # a later holder was here
+    is_lost: bool  # the store has seen a later owner
 
 
 class OwnershipManager:
@@ -60,16 +61,16 @@
     is_fleet_owner: bool
     generation: int
     assigned: frozenset[int]
-    reached_at: float | None  # event-loop time of the newest answer of the store
-    unanswered_since: float | None  # event-loop time of the first call without answer
+    reached_at: float | None  # event-loop time of the last answer of the store
+    unanswered_since: float | None  # event-loop time of the first unanswered call
     _confirmed_at: float | None
     _stacks: dict[int, contextlib.AsyncExitStack]
     _fleet_owner: FleetOwnerHandle | None
-    _epochs: dict[int, int]  # generation in which each partition came
-    _fenced_epochs: dict[int, int]
+    _epochs: dict[int, int]  # generation in which each partition was assigned
+    _fenced_epochs: dict[int, int]  # last epoch that a later owner fenced out
     _owner_names: dict[int, str]
     _owners_read_at: float  # event-loop time
-    _larger_node_count: int  # members with more cores, as last seen
+    _larger_node_count: int  # larger owners at the last check
     _sizes_read_at: float  # event-loop time
     _started_at: float  # event-loop time
 
@@ -108,15 +109,15 @@
         self._owners_read_at = -OWNERS_MAX_AGE_S
 
     def confirmed_at(self) -> float | None:
-        """Return when the newest successful join was sent."""
+        """Return when the last successful join was sent."""
         return self._confirmed_at
 
     async def run(self) -> None:
         """Join at intervals until cancelled."""
         loop = asyncio.get_running_loop()
         is_reached = True
-        # A node that comes back looks at the sizes before its first join: to own a pool
-        # for a second costs two changes of owner.
+        # The first check of the sizes comes before the first join: owning a pool for a
+        # second would cost two changes of owner.
         self._started_at = loop.time()
         self._sizes_read_at = self._started_at - SIZE_CHECK_INTERVAL_S
         while True:
@@ -148,7 +149,7 @@
         self.unanswered_since = None
 
     async def _yield_to_larger_nodes(self) -> bool:
-        """Whether larger nodes own the partitions; hands its own over to them."""
+        """Whether enough larger nodes own partitions; if so, leave the group."""
         loop = asyncio.get_running_loop()
         interval_s = STANDBY_INTERVAL_S
         if (
@@ -190,8 +191,8 @@
         for partition in set(self._epochs) - assignment.partitions:
             del self._epochs[partition]
         for partition in assignment.partitions:
-            # An epoch counts from the generation in which the partition came; it stays
-            # while the partition does, unless a later owner was there meanwhile.
+            # The epoch is the generation in which the partition was assigned. It stays
+            # as long as the assignment, unless a later owner has fenced it out.
             fenced = self._fenced_epochs.get(partition, 0)
             if self._epochs.get(partition, 0) <= fenced:
                 self._epochs[partition] = assignment.generation
@@ -207,7 +208,7 @@
                 await self._start_owner(partition, epoch)
 
     async def _apply_fleet(self, generation: int) -> None:
-        """Hold the orders to hosts while their partition is assigned."""
+        """Run the owner of the fleet while the fleet partition is assigned."""
         fleet_owner = self._fleet_owner
         if fleet_owner is not None and (fleet_owner.is_lost or not self.is_fleet_owner):
             self._fleet_owner = None
@@ -215,7 +216,7 @@
             await self._stacks.pop(FLEET_PARTITION).aclose()
         if not self.is_fleet_owner or self._fleet_owner is not None:
             return
-        # A holder that was fenced out needs a later generation than its own.
+        # After an owner was fenced out, the next one needs a later generation.
         if generation > self._fenced_epochs.get(FLEET_PARTITION, 0):
             stack = contextlib.AsyncExitStack()
             self._fleet_owner = await stack.enter_async_context(
@@ -233,15 +234,19 @@
     async def _stop_owner(self, partition: int) -> None:
         owner = self.owners_by_partition.pop(partition)
         if owner.is_lost:
-            # A fenced epoch is not used again: the next owner object waits for a
-            # later generation.
+            # A fenced epoch is not used again: the next owner waits for a later
+            # generation.
             self._fenced_epochs[partition] = owner.epoch
             self._epochs.pop(partition, None)
         owner.is_lost = True
         await self._stacks.pop(partition).aclose()
 
     async def find_owner(self, partition: int, is_fresh: bool = False) -> str | None:
-        """Return the member that owns a partition, from a view of limited age."""
+        """Return the member that owns a partition.
+
+        The list of owners is read again if it is older than `OWNERS_MAX_AGE_S`, or if
+        `is_fresh` asks for a newer one.
+        """
         loop = asyncio.get_running_loop()
         age = loop.time() - self._owners_read_at
         if age > OWNERS_MAX_AGE_S or (is_fresh and age > 0.1):
@@ -256,7 +261,7 @@
         self._owners_read_at = asyncio.get_running_loop().time()
 
     async def close(self) -> None:
-        """Give everything up in a planned way."""
+        """Stop all owners and leave the group."""
         for partition in list(self.owners_by_partition):
             await self._stop_owner(partition)
         if FLEET_PARTITION in self._stacks:
@@ -272,7 +277,7 @@
 async def run_ownership_manager(
     ownership_manager: OwnershipManager,
 ) -> AsyncIterator[None]:
-    """Run a keeper while the context is entered."""
+    """Run an ownership manager inside the context and close it at the end."""
     try:
         async with background.running(ownership_manager.run()):
             yield
--- a/clementinespar/jobs/peer_server.py
+++ b/clementinespar/jobs/peer_server.py
@@ -1,4 +1,4 @@
-"""Answers to the other nodes, and metrics, over HTTP on the internal port."""
+"""HTTP server on the internal port: queries of other nodes and metrics."""
 
 import contextlib
 import json
@@ -13,16 +13,16 @@
 
 
 class _PeerRequestHandler(tornado.web.RequestHandler):
-    """Answers one question about a partition."""
+    """Answers a query of a peer about a partition that this node owns."""
 
     def initialize(self, jobs: service.JobService) -> None:
         self._jobs = jobs
 
     def compute_etag(self) -> None:
-        """Send no entity tag; peers do not cache."""
+        """Send no entity tag, since peers do not cache."""
 
     def get(self, partition: str) -> None:
-        """Answer as the owner, or with 503."""
+        """Answer as the owner; with 503 if this node is not, 400 if it is malformed."""
         path = (self.request.uri or "")[len(partition) + 1 :]
         try:
             reply = self._jobs.answer_peer(int(partition), path)
@@ -36,7 +36,7 @@
 
 
 class _JobHandler(tornado.web.RequestHandler):
-    """Explains a job to operators, whoever owns it."""
+    """Explains a job to operators, whichever node owns it."""
 
     def initialize(self, jobs: service.JobService) -> None:
         self._jobs = jobs
@@ -63,7 +63,7 @@
         self._metrics = metrics
 
     def get(self) -> None:
-        """Write all metrics as text."""
+        """Answer with all metrics in the text format of Prometheus."""
         self.set_header("Content-Type", "text/plain; version=0.0.4")
         self.finish(self._metrics.render())
 
@@ -72,7 +72,7 @@
 async def serve_peers(
     address: str, port: int, jobs: service.JobService, metrics: telemetry.JobMetrics
 ) -> AsyncIterator[None]:
-    """Listen for peers while the context is entered."""
+    """Serve peers inside the context."""
     application = tornado.web.Application(
         [
             (r"/metrics", _MetricsHandler, {"metrics": metrics}),
--- a/clementinespar/jobs/placement.py
+++ b/clementinespar/jobs/placement.py
@@ -1,23 +1,25 @@
-"""Order of jobs, choice of workers, and pacing of filling tasks."""
+"""Order of jobs, choice of workers, and pacing of filler tasks."""
 
 import collections
 from collections.abc import Callable, Container
 
 from clementinespar.jobs import model, state, worker_session
 
-# A tail above this share of its target slows what fills beside it, before the bound.
+# A tail latency above this share of its target slows the fillers on the same worker,
+# before the target is exceeded.
 PACE_DOWN_SHARE = 0.85
 PACE_UP_SHARE = 0.6
-PACE_STEP = 20  # percent added at once while the tails allow it
-PACE_INTERVAL_S = 0.6  # the reported tail covers the last half second
+PACE_STEP = 20  # percent added at a time while the tail latency is low
+PACE_INTERVAL_S = 0.6  # the reported tail latency covers the last half second
 
-# Classes of jobs in the order of their placement.
+# Classes of jobs, placed in this order.
 LASTING = 0
 BEGUN = 1
 NEW = 2
 LATE = 3
-BEGUN_TOLERANCE = 0.3  # of the chain that is left; estimates are off by half
-NEW_MARGIN = 0.15  # of the chain, for the waits of later steps
+# Shares of the duration of the remaining chain of steps.
+BEGUN_TOLERANCE = 0.3  # estimates are off by half
+NEW_MARGIN = 0.15  # for the time that later steps wait
 
 
 def rank(
@@ -27,10 +29,11 @@
 ) -> tuple[int, int, float]:
     """Return the sorting key of a job; the lowest is placed first.
 
-    Lasting work goes first, since it earns all the time. Jobs that have begun and can
-    still be in time follow, then new ones by their slack. A new job counts as late
-    while it still has some slack: under overload, jobs that begin with none all end
-    just after their objective. Late jobs go last, the latest last.
+    Lasting jobs go first, since they are of use all the time. Jobs that have started
+    and can still meet their objective follow, then new ones by their slack. A new job
+    counts as late when it has little slack left: under overload, jobs that start
+    without slack would all end just after their objective. Late jobs go last, the
+    latest last.
     """
     if job.is_lasting:
         return (LASTING, job.spec.priority, 0.0)
@@ -45,7 +48,7 @@
 
 
 class FreeCapacity:
-    """Free capacity of the workers that may take work in one round."""
+    """Free capacity of the workers that may take work in one round of placement."""
 
     _sessions: list[worker_session.WorkerSession]
 
@@ -53,7 +56,7 @@
         self._sessions = sessions
 
     def has_any(self) -> bool:
-        """Whether any worker may have room."""
+        """Whether there is any worker that may take work."""
         return bool(self._sessions)
 
     def choose(
@@ -62,14 +65,14 @@
         counts: collections.Counter[str],
         avoided: set[str],
     ) -> worker_session.WorkerSession | None:
-        """Return the worker for one more task of a step, or None without room.
+        """Return the worker for one more task of a step, or None if none can take it.
 
         Parameters
         ----------
         counts : collections.Counter
             Tasks of the step on each worker id.
         avoided : set of str
-            Workers on which the task failed; taken only if no other has room.
+            Workers on which the task failed; chosen only if no other can take it.
         """
         best: worker_session.WorkerSession | None = None
         best_score: tuple[float, ...] = ()
@@ -91,20 +94,23 @@
         return best
 
     def restrict(self, worker_ids: Container[str]) -> "FreeCapacity":
-        """Return the room on some of the workers."""
+        """Return the free capacity of some of the workers."""
         return FreeCapacity(
             [s for s in self._sessions if s.entry.worker_id in worker_ids]
         )
 
     def worker_ids(self) -> list[str]:
-        """Return the ids of the workers, those with the most free cores first."""
+        """Return the ids of the workers, by falling number of free cores."""
         ranked = sorted(self._sessions, key=lambda session: -session.free_cpu)
         return [session.entry.worker_id for session in ranked]
 
     def choose_gang(
         self, spec: model.StepSpec, size: int
     ) -> list[worker_session.WorkerSession] | None:
-        """Return a worker for each member, on one rack if possible, or None."""
+        """Return a worker for each member of a gang, or None if not all fit.
+
+        With `StepSpec.is_same_rack`, the workers are on one rack if possible.
+        """
         by_rack: dict[str, list[worker_session.WorkerSession]] = {}
         for session in self._sessions:
             by_rack.setdefault(session.entry.rack, []).append(session)
@@ -117,7 +123,7 @@
 
 
 def pace_fillers(session: worker_session.WorkerSession, now: float) -> None:
-    """Slow filling tasks while a serving task beside them is near its target."""
+    """Adjust the pace of fillers to the tail latency of serving tasks beside them."""
     fillers = []
     worst = 0.0
     for run in session.runs.values():
--- a/clementinespar/jobs/pool_owner.py
+++ b/clementinespar/jobs/pool_owner.py
@@ -1,13 +1,13 @@
-"""The one node that decides for a pool of workers.
+"""The owner of a partition of worker pools: adopts jobs and places their tasks.
 
-Takeover: the first progress record carries the owner's epoch and fences every earlier
-owner out of the partition; then progress and commands are read, and each worker is
-called with the new fence. Jobs that an earlier owner had adopted wait until every
-worker that it may have used has answered, or its lease has certainly ended. Jobs that
-nobody adopted start at once.
+Takeover: the first progress record carries the owner's epoch, which fences every
+previous owner out of the partition. The owner then reads progress and commands and
+calls each worker with the new fence. Jobs that a previous owner had adopted wait until
+every worker that it may have used has answered, or until the lease on that worker has
+certainly ended. Jobs that no owner had adopted start at once.
 
-What must last is stored before it is shown or acknowledged: adoption before the first
-start, ends before their acknowledgement, a final state before a caller sees it.
+State is stored before it is shown or acknowledged: an adoption before the first start,
+ends of runs before their acknowledgement, a final state before a caller sees it.
 """
 
 import asyncio
@@ -34,23 +34,25 @@
 
 LEASE_SHARE = 0.9  # of the longest lease that workers grant
 FLUSH_INTERVAL_S = 0.6  # ends are acknowledged at least this often
-SCHEDULE_SPACING_S = 0.004  # collects events for one round of placement
-FAILED_RETRY_DELAY_S = 0.08  # after a failed run, so that others go first
+SCHEDULE_SPACING_S = 0.004  # batches events into one round of placement
+FAILED_RETRY_DELAY_S = 0.08  # after a failed run, so that other tasks go first
 LOST_RETRY_DELAY_S = 0.02
 STORE_RETRY_S = 0.1
-# Long wait of a read for new commands. A connection may go silent for good, and a job
-# must be known within three seconds.
+# Longest wait of a read for new commands. A connection may stop answering for good, and
+# a job must be known within three seconds.
 COMMAND_WAIT_S = 1.0
-COMMAND_SPACING_S = 0.01  # collects commands, since each read is priced
-STALE_COMMANDS_S = 1.4  # an unknown job is reported only if commands are this fresh
-STATUS_RETENTION_MS = 150_000  # longer than callers may ask for a final state
+COMMAND_SPACING_S = 0.01  # batches commands, since each read has a price
+# A job is reported as unknown only if the last read of commands is no older than this
+# plus `COMMAND_WAIT_S`.
+STALE_COMMANDS_S = 1.4
+STATUS_RETENTION_MS = 150_000  # longer than callers may query a final state
 HOUSEKEEPING_INTERVAL_S = 0.5
 UNKNOWN_STEP = model.StepSpec(1)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnerSettings:
-    """Figures that the owner of a pool needs.
+    """Settings of the owner of a partition.
 
     Attributes
     ----------
@@ -70,8 +72,8 @@
     is_lost: bool
     jobs_by_id: dict[str, state.JobProgress]
     sessions_by_id: dict[str, worker_session.WorkerSession]
-    evacuating: dict[str, float]  # worker id: event-loop time until which it is kept
-    commands_read_at: float  # event-loop time of the newest read
+    evacuating: dict[str, float]  # worker id: event-loop time at which it expires
+    commands_read_at: float  # event-loop time of the last read of commands
     metrics: telemetry.JobMetrics
     _lease_s: float
     _log: fenced_log.FencedLog
@@ -80,13 +82,13 @@
     _placer: task_placer.TaskPlacer
     _run_watch: run_watch.RunWatch
     _cancelled_ids: set[str]
-    _finished_commands: list[str]  # ids of jobs whose command can be dropped
+    _finished_commands: list[str]  # ids of jobs whose commands can be deleted
     _unsubscribe: Callable[[], None]
     _tickets: advice.TicketCache
     _run_times: demand.RunTimes
     _arrivals_by_pool: dict[str, demand.ArrivalRate]
-    _dirty: dict[str, state.JobProgress]  # memory is ahead of the store
-    _active: dict[str, state.JobProgress]  # not final
+    _dirty: dict[str, state.JobProgress]  # changed since the last append
+    _active: dict[str, state.JobProgress]  # not in a final state
 
     def __init__(
         self,
@@ -143,14 +145,14 @@
         self._run_times = demand.RunTimes()
         self._arrivals_by_pool = {}
 
-    # What sessions tell.
+    # Events of worker sessions; see `worker_session.RunEvents`.
 
     def confirmed_at(self) -> float | None:
-        """Return when the newest confirmation of ownership was asked for."""
+        """Return when the last call that confirmed ownership was sent."""
         return None if self.is_lost else self._confirmed_at()
 
     def on_contact(self, session: worker_session.WorkerSession) -> None:
-        """Look for room after each report."""
+        """Record that the worker has answered and request a round of placement."""
         worker_id = session.entry.worker_id
         self._worker_use.answered.add(worker_id)
         if worker_id not in self._worker_use.in_use and not session.is_released():
@@ -161,11 +163,11 @@
         self._schedule_wanted.set()
 
     def may_lease(self, worker_id: str) -> bool:
-        """Whether the next owner would learn from the store of a lease there."""
+        """Whether the stored record tells the next owner of a lease on the worker."""
         return worker_id in self._worker_use.stored
 
     def on_unresponsive(self, session: worker_session.WorkerSession) -> None:
-        """Let copies of speculative tasks start beside runs on a silent worker."""
+        """Queue copies of the speculative tasks that run on an unresponsive worker."""
         for run in session.runs.values():
             if not run.spec.is_speculative:
                 continue
@@ -180,15 +182,15 @@
     def on_ticket_rejected(
         self, session: worker_session.WorkerSession, run: worker_session.Run
     ) -> None:
-        """Ask the adviser again before the next start there."""
+        """Drop the ticket, so that the adviser is asked for a new one."""
         self._tickets.drop(run.key, session.entry.worker_id)
 
     def on_fenced(self) -> None:
-        """Give the partition up: a later owner has reached a worker."""
+        """Stop acting as the owner: a later owner has called a worker."""
         self.mark_lost("a worker has seen a later owner")
 
     def orphan_spec(self, key: model.TaskKey) -> model.StepSpec:
-        """Return the size of a run that must be stopped."""
+        """Return the spec of a run that this owner does not want and has to stop."""
         job = self.jobs_by_id.get(key.job_id)
         if job is not None and 0 <= key.step < len(job.spec.steps):
             return job.spec.steps[key.step]
@@ -200,12 +202,12 @@
         end: model.EndedTask,
         run: worker_session.Run | None,
     ) -> None:
-        """Apply an end once, whoever started the run."""
+        """Apply the end of a run, whichever owner started it."""
         self.metrics.count_end(end.kind.value)
         self._schedule_wanted.set()
         found = self._find_open_task(end.task)
         if found is None:
-            return  # acknowledged with the next flush
+            return  # nothing to store; the next flush acknowledges it
         job, task = found
         step = job.find_step(end.task)
         task.open_runs.discard(end.run)
@@ -246,7 +248,7 @@
         run: worker_session.Run,
         reason: str,
     ) -> None:
-        """Place a task again whose run certainly does not execute."""
+        """Requeue the task of a run that certainly does not execute."""
         self._schedule_wanted.set()
         self._log_event(
             "run_gone",
@@ -266,7 +268,7 @@
     def on_unknown_run(
         self, session: worker_session.WorkerSession, listed: model.RunningTask
     ) -> worker_session.Run | None:
-        """Adopt a run of a former owner if its task still needs it."""
+        """Adopt a run of a previous owner if its task still needs it."""
         found = self._find_open_task(listed.task)
         if found is None:
             return None
@@ -292,7 +294,7 @@
         task = None if job is None or job.is_final else job.find_task(key)
         return None if job is None or task is None else (job, task)
 
-    # What callers ask.
+    # Queries.
 
     def describe(self, job_id: str) -> model.JobState | None:
         """Return a job's state, or None if no job has this id.
@@ -300,7 +302,7 @@
         Raises
         ------
         errors.ClementinesparError
-            This node cannot tell, since its view of the commands is old.
+            The commands were not read recently enough to report a job as unknown.
         """
         job = self.jobs_by_id.get(job_id)
         if job is not None:
@@ -312,7 +314,8 @@
             COMMAND_WAIT_S + STALE_COMMANDS_S
         ):
             raise errors.ClementinesparError(
-                codes.ResultCode.JOB_OWNER_UNKNOWN, "the commands are not read yet"
+                codes.ResultCode.JOB_OWNER_UNKNOWN,
+                "the owner has not read the newest commands yet",
             )
         return None
 
@@ -325,9 +328,9 @@
         because = []
         waits_for = None
         if not job.is_adopted:
-            waits_for = "the store, for the record of its adoption"
+            waits_for = "the store to append the record of its adoption"
         elif job.adopted_epoch != self.epoch and not self._worker_use.is_settled():
-            waits_for = "workers of the former owner that do not answer"
+            waits_for = "unresponsive workers of the previous owner"
         if not job.is_final and not job.is_lasting:
             slack_s = job.deadline - now
             because.append(f"its objective ends in {slack_s:.1f} s")
@@ -354,7 +357,10 @@
         )
 
     def count_waiting(self, queue: str) -> int:
-        """Return the number of accepted jobs of a queue with no started task."""
+        """Return the number of accepted jobs of a queue of which no task has started.
+
+        Jobs with occurrences are not counted.
+        """
         return sum(
             1
             for job in self._active.values()
@@ -364,7 +370,7 @@
         )
 
     def describe_load(self, pool: str) -> dict[str, object]:
-        """Return the waiting work and the use of each worker of a pool."""
+        """Return the waiting work of a pool and the use of each of its workers."""
         now = asyncio.get_running_loop().time()
         sessions = [
             session
@@ -408,9 +414,9 @@
     def evacuate(
         self, worker_id: str, kept_s: float, urgency: model.EvacuationUrgency
     ) -> bool:
-        """Keep new work from a worker; True once its host may be taken away.
+        """Give a worker no new work for `kept_s`; True once its host may be taken away.
 
-        Lasting tasks are moved as far as their steps allow.
+        Lasting tasks are moved to other workers as far as `StepSpec.may_miss` allows.
         """
         loop = asyncio.get_running_loop()
         session = self.sessions_by_id.get(worker_id)
@@ -419,8 +425,8 @@
             return False
         self.evacuating[worker_id] = loop.time() + kept_s
         if session is None:
-            # After a change of owner the worker may be in use though it is not known
-            # here yet.
+            # After a change of owner, a worker without a session may still execute
+            # runs of the previous owner.
             return (
                 self._directory.is_loaded
                 and worker_id not in self._directory.by_id
@@ -443,10 +449,10 @@
         self._release_idle_workers()
         return True
 
-    # Loops.
+    # Background tasks.
 
     async def load(self) -> None:
-        """Fence earlier owners, then read progress and commands."""
+        """Fence previous owners, then read progress and commands."""
         loop = asyncio.get_running_loop()
         await self._append([services.KeyedRecord("owner", b"%d" % self.epoch)])
         fenced_at = loop.time()
@@ -499,7 +505,7 @@
         )
 
     async def follow_commands(self) -> None:
-        """Apply what callers ask, as it is stored."""
+        """Apply commands of callers as they arrive in the store."""
         loop = asyncio.get_running_loop()
         while True:
             try:
@@ -525,7 +531,7 @@
             await asyncio.sleep(COMMAND_SPACING_S)
 
     async def write_progress(self) -> None:
-        """Store what changed, one append at a time; acknowledge what is stored."""
+        """Store changed jobs, one append at a time, then acknowledge their ends."""
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(FLUSH_INTERVAL_S):
@@ -578,7 +584,7 @@
             self._schedule_wanted.set()
 
     def _restore_worker_use(self, value: bytes, fenced_at: float) -> None:
-        """Wait for the leases of the former owner and of those before it."""
+        """Restore which workers the previous owners may still have leases on."""
         lease_s = self._settings.lease_max_s + worker_session.LEASE_MARGIN_S
         try:
             self._worker_use.restore(value, fenced_at, lease_s)
@@ -587,7 +593,7 @@
             self._worker_use.wait_for_all(fenced_at, lease_s)
 
     async def schedule(self) -> None:
-        """Place tasks whenever something has changed."""
+        """Run a round of placement after each change that may allow a start."""
         while True:
             await self._schedule_wanted.wait()
             await asyncio.sleep(SCHEDULE_SPACING_S)
@@ -595,7 +601,7 @@
             self._place_tasks()
 
     async def run_housekeeping(self) -> None:
-        """Follow the directory, open occurrences, drop what nobody may ask for."""
+        """Refresh sessions, open due occurrences and delete expired state."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
@@ -625,7 +631,7 @@
                     [services.KeyedRecord("j" + job_id, b"") for job_id in keys],
                 )
             except errors.ClementinesparError:
-                self._finished_commands.extend(keys)  # dropped with the next ones
+                self._finished_commands.extend(keys)  # deleted with the next ones
         expired = [
             job_id
             for job_id, job in self.jobs_by_id.items()
@@ -679,7 +685,9 @@
             age_ms=int(time.time() * 1000) - job.spec.accepted_ms,
         )
         if job_id in self._cancelled_ids:
-            self._finish_job(job, model.JobState.CANCELLED, "cancelled before it came")
+            self._finish_job(
+                job, model.JobState.CANCELLED, "cancelled before it was submitted"
+            )
         self._mark_dirty(job)
         self._flush_wanted.set()
 
@@ -698,7 +706,7 @@
         ) / 1000
         job.deadline = loop.time() - age_s + objective_s
 
-    # Ends.
+    # Ends of runs.
 
     def _record_failure(
         self,
@@ -720,12 +728,14 @@
         if step.spec.is_gang:
             attempts = len(set().union(*(t.failed_runs for t in step.tasks)))
         if not step.spec.is_lasting and attempts >= job.spec.max_attempts:
-            self._finish_job(job, model.JobState.FAILED, "a task failed too often")
+            self._finish_job(
+                job, model.JobState.FAILED, "a task reached its limit of attempts"
+            )
 
     def _finish_gang(
         self, job: state.JobProgress, step: state.StepState, run: int
     ) -> None:
-        """One done end stands for all members of the run."""
+        """Mark all members as done after one member of the run has ended as done."""
         for member in step.tasks:
             state.mark_done(step, member)
             self._stop_copies(member, keep_run=run)
@@ -747,7 +757,7 @@
         for session in self.sessions_by_id.values():
             for run in list(session.runs.values()):
                 if run.key == task.key and run.number != keep_run:
-                    session.stop(run, "another copy is done")
+                    session.stop(run, "another copy of the task is done")
 
     def _finish_occurrences(self, job: state.JobProgress) -> None:
         for number, occurrence in list(job.occurrences.items()):
@@ -860,7 +870,11 @@
                 self._worker_use.in_use.discard(worker_id)
 
     def _release_idle_workers(self) -> None:
-        """Spare a next owner the wait for workers that may vanish without any run."""
+        """Remove idle workers from the record that the next owner waits for.
+
+        Their hosts may be taken away, and the next owner would wait for their leases to
+        end although nothing runs there.
+        """
         released = {
             worker_id
             for worker_id, session in self.sessions_by_id.items()
@@ -870,15 +884,15 @@
             self._worker_use.in_use -= released
             self._flush_wanted.set()
 
-    # The store.
+    # Store.
 
     async def _append(self, records: list[services.KeyedRecord]) -> None:
-        """Append as the owner until it is stored; give up when fenced out."""
+        """Append progress as the owner; never returns once the owner is fenced out."""
         try:
             await self._log.append(records)
         except errors.ClementinesparError:
             self.mark_lost("the store has seen a later owner")
-            await asyncio.Event().wait()  # cancelled with the partition
+            await asyncio.Event().wait()  # until the tasks of this owner are cancelled
 
     async def _retry_read(
         self, call: Callable[[], Awaitable[services.RecordPage]]
@@ -891,7 +905,7 @@
             await asyncio.sleep(STORE_RETRY_S)
 
     def mark_lost(self, reason: str) -> None:
-        """Stop acting as the owner."""
+        """Record that the partition is lost and stop acting as its owner."""
         if self.is_lost:
             return
         self.is_lost = True
@@ -899,7 +913,7 @@
         self._on_lost(self)
 
     async def run(self) -> None:
-        """Load, then decide until cancelled."""
+        """Load the partition, then run the background tasks until cancelled."""
         await self.load()
         async with asyncio.TaskGroup() as group:
             group.create_task(self.follow_commands())
@@ -908,7 +922,10 @@
             group.create_task(self.run_housekeeping())
 
     def close(self) -> None:
-        """End all sessions; runs go on until their leases end or a next owner."""
+        """Close all sessions.
+
+        Runs go on until the next owner decides about them or their leases end.
+        """
         self.is_lost = True
         self._unsubscribe()
         self._tickets.close()
@@ -917,12 +934,12 @@
 
 
 def _do_nothing() -> None:
-    """Take the place of an unsubscription before there is one."""
+    """Stand in for `PoolOwner._unsubscribe` until the owner has subscribed."""
 
 
 @contextlib.asynccontextmanager
 async def own_partition(owner: PoolOwner) -> AsyncIterator[None]:
-    """Run an owner while the context is entered."""
+    """Run an owner inside the context and close it at the end."""
     async with background.running(owner.run()):
         try:
             yield
--- a/clementinespar/jobs/run_watch.py
+++ b/clementinespar/jobs/run_watch.py
@@ -1,15 +1,15 @@
-"""Watches runs: those without progress, and lasting ones that have to move."""
+"""Checks of runs: stops stuck ones and moves lasting ones away from workers."""
 
 import asyncio
 
 from clementinespar.jobs import placement, state, task_placer, worker_session
 
 STUCK_AFTER_S = 1.4  # a run without progress for this long is started elsewhere
-STUCK_LASTING_S = 4.0  # a lasting task needs some time until it is at work
+STUCK_LASTING_S = 4.0  # a lasting task takes some time until it is working
 
 
 class RunWatch:
-    """Runs of one pool that need attention."""
+    """Checks the runs of one partition after each report of a worker."""
 
     _jobs_by_id: dict[str, state.JobProgress]
     _sessions_by_id: dict[str, worker_session.WorkerSession]
@@ -26,7 +26,7 @@
         self._placer = placer
 
     def check(self, session: worker_session.WorkerSession) -> None:
-        """Stop runs without progress, move lasting ones, and pace what fills."""
+        """Stop stuck runs, move lasting ones off a draining worker, pace fillers."""
         now = asyncio.get_running_loop().time()
         for run in list(session.runs.values()):
             if run.status is not worker_session.RunStatus.RUNNING:
@@ -41,7 +41,11 @@
         placement.pace_fillers(session, now)
 
     def move_lasting(self, run: worker_session.Run, reason: str) -> None:
-        """Stop a lasting task so that it starts elsewhere, if its step may miss it."""
+        """Stop a lasting run, so that its task starts on another worker.
+
+        Does nothing if `StepSpec.may_miss` tasks of the step are down already, unless
+        the worker is draining, or if no other worker has enough free capacity.
+        """
         if run.status is not worker_session.RunStatus.RUNNING:
             return
         job = self._jobs_by_id.get(run.key.job_id)
@@ -64,7 +68,7 @@
                         < worker_session.UNRESPONSIVE_AFTER_S
                     ):
                         working += 1
-            # The run itself may have got to work since the last report.
+            # The run itself may have started working since the last report.
             down = len(step.tasks) - working - (run.percent < 100)
             if down >= max(1, may_miss):
                 return
@@ -79,5 +83,5 @@
             ]
         )
         if free_capacity.choose(step.spec, counts, set()) is None:
-            return  # nowhere to go: it keeps working where it is
+            return  # no other worker can take it, so it goes on here
         run.session.stop(run, reason)
--- a/clementinespar/jobs/service.py
+++ b/clementinespar/jobs/service.py
@@ -1,7 +1,7 @@
-"""What callers ask of jobs, at any node.
+"""Requests of callers about jobs, served by any node.
 
-A submission and a cancellation are commands on the store; their acknowledgement is the
-store's. States are asked of the owner of the pool, here or at a peer.
+A submission or a cancellation is appended to the store as a command, and acknowledged
+once the store has it. Queries go to the owner of the pool, here or at a peer.
 """
 
 import asyncio
@@ -17,10 +17,10 @@
 
 PEER_TIMEOUT_S = 0.5
 OWNER_RETRY_S = 0.15  # a change of owner takes about a second
-WAITING_MAX_AGE_S = 1.0  # callers may be told a count that is 2 s old
+WAITING_MAX_AGE_S = 1.0  # a count returned to callers may be up to 2 s old
 STORE_RETRY_S = 0.1
-# A store that has answered no call for this long is taken as away; calls to it are
-# given up after the same time. A slow store may need most of it.
+# A store that has answered no call for this long counts as unavailable, and calls to it
+# are given up after the same time. A slow store may need most of it to answer.
 STORE_UNAVAILABLE_S = 1.0
 
 
@@ -32,9 +32,9 @@
     _store: services.JobStore
     _caller: http_calls.HttpCaller
     _waiting_by_queue: dict[str, tuple[float, int]]
-    _sent_at: dict[str, float]  # job id: event-loop time of its append in flight
+    _sent_at: dict[str, float]  # job id: event-loop time of its pending append
     _unanswered_since: float  # event-loop time of the first append without an answer
-    _answered_at: float  # event-loop time of the newest answer to an append
+    _answered_at: float  # event-loop time of the last answer to an append
 
     def __init__(
         self,
@@ -55,11 +55,11 @@
     async def submit(
         self, pool: str, spec: model.JobSpec, timeout_s: float
     ) -> codes.ResultCode:
-        """Store a job; ``OK`` once it is durable.
+        """Store a job; returns ``OK`` once it is durable.
 
         Returns ``STORE_REFUSED`` if it certainly is not stored and ``STORE_UNANSWERED``
-        if it may be. While the store is away the answer comes early, so that the caller
-        can try another node or come back.
+        if it may be. While the store is unavailable, returns before the timeout, so
+        that the caller can try another node or retry later.
         """
         if self._is_store_unavailable():
             return codes.ResultCode.STORE_REFUSED
@@ -79,7 +79,7 @@
             self._sent_at.pop(spec.job_id, None)
 
     def _is_store_unavailable(self) -> bool:
-        """Whether calls of this node to the store have gone without answers."""
+        """Whether the store has left a call of this node unanswered for too long."""
         now = asyncio.get_running_loop().time()
         answered_at = self._store_answered_at()
         unanswered = [self._unanswered_since, *self._sent_at.values()]
@@ -97,26 +97,26 @@
     async def cancel(
         self, pool: str, job_id: str, timeout_s: float
     ) -> codes.ResultCode:
-        """Store a cancellation; the job's owner stops what runs."""
+        """Store a cancellation; the owner of the job stops its runs."""
         record = services.KeyedRecord("c" + job_id, b"1")
         return await self._append_command(pool, record, timeout_s)
 
     async def describe(
         self, pool: str, job_id: str, timeout_s: float
     ) -> model.JobState | None:
-        """Return a job's state, or None if no pool knows it.
+        """Return a job's state, or None if no pool has this job.
 
         Raises
         ------
         errors.ClementinesparError
-            No owner could be asked in time.
+            No owner answered in time.
         """
         reply = await self._ask_owner(
             ownership.partition_of(pool), f"/jobs/{job_id}", timeout_s
         )
         if reply["state"] is not None:
             return model.JobState(reply["state"])
-        # A queue may have moved to another pool since the job came.
+        # The queue may have moved to another pool since the job was submitted.
         for partition in self._other_partitions(pool):
             reply = await self._ask_owner(partition, f"/jobs/{job_id}", timeout_s)
             if reply["state"] is not None:
@@ -124,7 +124,7 @@
         return None
 
     async def count_waiting(self, queue: model.Queue, timeout_s: float) -> int:
-        """Return the accepted jobs of a queue of which no task has started."""
+        """Return the number of accepted jobs of a queue with no started task."""
         loop = asyncio.get_running_loop()
         cached = self._waiting_by_queue.get(queue.name)
         if cached is not None and loop.time() - cached[0] < WAITING_MAX_AGE_S:
@@ -144,7 +144,7 @@
         kept_s: float,
         urgency: model.EvacuationUrgency,
     ) -> bool:
-        """Ask the owner of a pool to free a worker; True once it is free."""
+        """Ask the owner of a pool to evacuate a worker; True once it is free."""
         name = urllib.parse.quote(worker_id, safe="")
         reply = await self._ask_owner(
             ownership.partition_of(pool),
@@ -154,7 +154,7 @@
         return bool(reply["is_free"])
 
     async def describe_load(self, pool: str) -> dict[str, Any]:
-        """Return the demand and use of a pool as its owner sees them."""
+        """Return the demand and use of a pool, as its owner measures them."""
         return await self._ask_owner(
             ownership.partition_of(pool),
             f"/load/{urllib.parse.quote(pool, safe='')}",
@@ -172,7 +172,7 @@
             if reply["state"] is not None:
                 return reply
         raise errors.ClementinesparError(
-            codes.ResultCode.JOB_UNKNOWN, "no pool knows this job"
+            codes.ResultCode.JOB_UNKNOWN, "no pool has a job of this id"
         )
 
     def _other_partitions(self, pool: str) -> Iterable[int]:
@@ -244,13 +244,13 @@
         if response.status != 200:
             raise errors.ClementinesparError(
                 codes.ResultCode.JOB_OWNER_UNKNOWN,
-                f"the peer answered with status {response.status}",
+                f"the peer answered with status {response.status}, expected 200",
             )
         reply: dict[str, Any] = json.loads(response.body)
         return reply
 
     def answer_peer(self, partition: int, path: str) -> dict[str, Any]:
-        """Answer a question as the owner of a partition.
+        """Answer a query of a peer, or of this node, as the owner of a partition.
 
         Raises
         ------
@@ -260,7 +260,8 @@
         owner = self.ownership_manager.owners_by_partition.get(partition)
         if owner is None or owner.is_lost or not owner.is_loaded:
             raise errors.ClementinesparError(
-                codes.ResultCode.JOB_OWNER_UNKNOWN, "this node is not the owner"
+                codes.ResultCode.JOB_OWNER_UNKNOWN,
+                "this node does not own the partition or has not loaded it yet",
             )
         parts = urllib.parse.urlsplit(path)
         _, kind, name = parts.path.split("/", 2)
@@ -283,5 +284,7 @@
         if kind == "load":
             return owner.describe_load(name)
         raise errors.ClementinesparError(
-            codes.ResultCode.REQUEST_INVALID, f"unknown question {kind}"
+            codes.ResultCode.REQUEST_INVALID,
+            f"unknown kind of query {kind}; expected jobs, explain, waiting, evacuate"
+            " or load",
         )
--- a/clementinespar/jobs/services.py
+++ b/clementinespar/jobs/services.py
@@ -1,4 +1,4 @@
-"""What the slice needs of the platform, as protocols."""
+"""Protocols of the platform services that jobs need."""
 
 import dataclasses
 import enum
@@ -9,15 +9,15 @@
 
 
 class Topic(enum.Enum):
-    """Streams of keyed records, with one partition for each pool."""
+    """Streams of keyed records; a pool belongs to one partition of each."""
 
-    COMMANDS = "commands"  # what callers ask, written by any node
-    PROGRESS = "progress"  # written by the owner of the partition only
+    COMMANDS = "commands"  # requests of callers, written by any node
+    PROGRESS = "progress"  # written only by the owner of the partition
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """A record; without a value, its key is dropped."""
+    """A record with a key; an empty value deletes the key."""
 
     key: str
     value: bytes
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordPage:
-    """Records in order, and the offset to go on from."""
+    """Records in order, and the offset at which the next page starts."""
 
     records: list[KeyedRecord]
     next_offset: int
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Assignment:
-    """The partitions of a member."""
+    """The partitions that a member of the group owns."""
 
     generation: int
     partitions: frozenset[int]
@@ -49,7 +49,7 @@
     async def append(
         self, topic: Topic, partition: int, records: Sequence[KeyedRecord]
     ) -> None:
-        """Append records, all or none."""
+        """Append all records or none."""
         ...
 
     async def append_fenced(
@@ -59,21 +59,24 @@
         sequence: int,
         records: Sequence[KeyedRecord],
     ) -> None:
-        """Append progress as the owner with this epoch; a repeat has no new effect.
+        """Append progress as the owner with this epoch; repeating it has no effect.
 
-        Raises ``STORE_FENCED`` if a later epoch was seen or the sequence is lost.
-        Without records, it only sets the epoch.
+        Raises ``STORE_FENCED`` if the store has seen a later epoch or misses an earlier
+        sequence number. Without records, it only sets the epoch.
         """
         ...
 
     async def list_newest(self, topic: Topic, partition: int) -> RecordPage:
-        """Return the newest record of each key and an offset to follow from."""
+        """Return the newest record of each key, and the offset to read on from."""
         ...
 
     async def read(
         self, topic: Topic, partition: int, offset: int, wait_s: float
     ) -> RecordPage:
-        """Return records from an offset; raises ``STORE_HISTORY_GONE``."""
+        """Return records from an offset, waiting up to `wait_s` for the first one.
+
+        Raises ``STORE_HISTORY_GONE`` if the store has dropped records after the offset.
+        """
         ...
 
 
@@ -81,11 +84,15 @@
     """Assigns each partition to one live node."""
 
     async def join(self, generation: int) -> Assignment:
-        """Join or stay; the generation tells that earlier losses were noticed."""
+        """Join or stay in the group.
+
+        `generation` is that of the last assignment which this member has applied, so it
+        has given up the partitions that it lost until then.
+        """
         ...
 
     async def leave(self) -> None:
-        """Give all partitions up at once."""
+        """Give up all partitions at once."""
         ...
 
     async def list_owners(self) -> Mapping[int, str]:
@@ -119,7 +126,11 @@
         lease_until_ms: int | None,
         wait_ms: int,
     ) -> model.WorkerReport | None:
-        """Extend the lease and read both lists; None if the order was refused."""
+        """Renew the lease and return the worker's report; None if refused.
+
+        Without `lease_until_ms` the lease stays as it is. The worker waits up to
+        `wait_ms` for a run to end before it answers.
+        """
         ...
 
     async def pace(
@@ -130,22 +141,25 @@
         percent: int,
         fence: int,
     ) -> bool:
-        """Let a run work at a share of its speed, in percent; False if refused."""
+        """Limit a run to a share of its speed, in percent; False if refused."""
         ...
 
 
 class Adviser(Protocol):
-    """Tells which workers may run a step."""
+    """External service that decides which workers may run a step."""
 
     async def request_tickets(
         self, job_id: str, occurrence: int, step: int, worker_ids: Sequence[str]
     ) -> model.IssuedTickets:
-        """Return tickets; raises `errors.ClementinesparError` without an answer."""
+        """Return tickets for a step on some of the workers.
+
+        Raises `errors.ClementinesparError` if the adviser does not answer.
+        """
         ...
 
 
 class WorkerDirectory(Protocol):
-    """The workers that announce themselves."""
+    """The workers that have registered with the platform."""
 
     is_loaded: bool
 
@@ -155,11 +169,14 @@
         ...
 
     async def refresh(self) -> None:
-        """List anew; raises `errors.ClementinesparError` if that failed."""
+        """Read the list of workers again.
+
+        Raises `errors.ClementinesparError` if that failed.
+        """
         ...
 
     def subscribe(self, listener: Callable[[], None]) -> Callable[[], None]:
-        """Call the listener after each change, until the result is called."""
+        """Call the listener after each change; the result unsubscribes it."""
         ...
 
 
@@ -181,12 +198,12 @@
         ...
 
     async def start_maintenance(self, host_id: str, wave: int, fence: int) -> bool:
-        """Take a host down for its upkeep; False if the platform refused."""
+        """Take a host down for maintenance; False if the platform refused."""
         ...
 
 
 class WaveSource(Protocol):
-    """Waves that the operators ask for, and their reported state."""
+    """Maintenance waves that operators request, and reports of their state."""
 
     @property
     def by_number(self) -> Mapping[int, model.MaintenanceWave]:
@@ -194,13 +211,13 @@
         ...
 
     async def report(self, wave: model.MaintenanceWave, is_done: bool) -> None:
-        """Tell the operators how far a wave is."""
+        """Report to the operators whether a wave is running or done."""
         ...
 
 
 class EventLog(Protocol):
-    """Where the slice tells what changed, for logs."""
+    """Structured log of decisions."""
 
     def __call__(self, event: str, **fields: object) -> None:
-        """Write one line."""
+        """Write one event."""
         ...
--- a/clementinespar/jobs/state.py
+++ b/clementinespar/jobs/state.py
@@ -1,8 +1,8 @@
-"""State of jobs in the owner's memory, and its durable form.
+"""State of jobs in the owner's memory, and its stored form.
 
-A task's state is either pending, at most one open run (more for speculative copies), or
-done. Ends are applied once: failed runs are kept by their number, so an end that is
-listed again after a change of owner does not count twice.
+A task is waiting, has one open run (more for speculative copies), or is done. An end is
+applied only once: failed runs are kept by their number, so that an end which is listed
+again after a change of owner does not count twice.
 """
 
 import json
@@ -10,7 +10,8 @@
 
 from clementinespar.jobs import model
 
-# Room for the runs of one owner; the next owner's runs are all higher.
+# Up to this many runs of a task under one owner, all runs of the next owner have higher
+# numbers.
 RUNS_PER_EPOCH = 1000
 
 
@@ -31,10 +32,10 @@
     key: model.TaskKey
     is_done: bool
     failed_runs: set[int]
-    open_runs: set[int]  # runs that may be executing
+    open_runs: set[int]  # numbers of runs that may be executing
     last_run: int
     saved: str  # newest checkpoint; empty: none
-    not_before: float  # event-loop time of the next try
+    not_before: float  # event-loop time before which no run starts
     failed_on: set[str]  # workers on which a run failed
 
     def __init__(self, key: model.TaskKey) -> None:
@@ -71,7 +72,7 @@
 
 
 class Occurrence:
-    """One run-through of a job's steps."""
+    """One execution of all steps of a job."""
 
     __slots__ = ("number", "steps")
 
@@ -123,14 +124,14 @@
     spec: model.JobSpec
     state: model.JobState
     occurrences: dict[int, Occurrence]
-    first_epoch: int  # epoch of the owner that adopted the job first; 0: none
-    adopted_epoch: int  # epoch of the owner whose memory this is, or a former one
+    first_epoch: int  # epoch of the first owner that adopted the job; 0: none
+    adopted_epoch: int  # this owner's epoch if it adopted the job, else `first_epoch`
     is_adopted: bool  # the adoption is stored, so tasks may start
     has_started: bool
     final_ms: int  # Unix ms of the final state
-    deadline: float  # event-loop time until which the job earns its full worth
+    deadline: float  # event-loop time at which the objective of the job ends
     finished_occurrences: int
-    is_final_stored: bool  # the final state may be shown
+    is_final_stored: bool  # the final state is stored, so it may be shown
 
     def __init__(self, spec: model.JobSpec) -> None:
         self.spec = spec
@@ -149,7 +150,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing of the job runs any more."""
+        """Whether the job is in a final state."""
         return self.state in model.FINAL_STATES
 
     @property
@@ -158,13 +159,13 @@
         return any(step.is_lasting for step in self.spec.steps)
 
     def mark_started(self) -> None:
-        """Note that a task has started."""
+        """Record that a task of the job has started."""
         if not self.has_started:
             self.has_started = True
             self.state = model.JobState.RUNNING
 
     def find_task(self, key: model.TaskKey) -> TaskState | None:
-        """Return a task, or None if the job has none of this key."""
+        """Return a task, or None if the job has no task with this key."""
         occurrence = self.occurrences.get(key.occurrence)
         if occurrence is None or not 0 <= key.step < len(occurrence.steps):
             return None
@@ -176,12 +177,12 @@
         return self.occurrences[key.occurrence].steps[key.step]
 
     def open_due_occurrences(self, now_ms: float) -> bool:
-        """Create the occurrences that have become due; whether there were any."""
+        """Create the occurrences that have become due; True if there were any."""
         opened = False
         spec = self.spec
         number = self.finished_occurrences + len(self.occurrences)
-        # Finished occurrences are dropped in order of their end, so the next number is
-        # the count of all that were ever opened.
+        # Finished occurrences are removed from `occurrences` and counted, so the next
+        # number is the count of all that were ever opened.
         while (
             number < spec.occurrences
             and spec.first_due_ms + number * spec.period_ms <= now_ms
@@ -192,12 +193,12 @@
         return opened
 
     def next_run(self, task: TaskState, epoch: int) -> int:
-        """Return a run number above every earlier one, also those of former owners."""
+        """Return a run number above all earlier ones, including previous owners'."""
         base = (epoch - self.first_epoch) * RUNS_PER_EPOCH
         return max(base, task.last_run) + 1
 
     def remaining_ms(self, estimate_ms: Callable[[model.StepSpec], float]) -> float:
-        """Return the estimated length of the longest chain of work that is left."""
+        """Return the estimated duration of the longest chain of remaining steps."""
         total = 0.0
         for occurrence in self.occurrences.values():
             lengths: list[float] = []
@@ -209,7 +210,7 @@
         return total
 
     def remaining_work(self, estimate_ms: Callable[[model.StepSpec], float]) -> float:
-        """Return the estimated core-seconds of tasks not yet done."""
+        """Return the estimated core-seconds of tasks that are not done."""
         return sum(
             (len(step.tasks) - step.done_count)
             * step.spec.cpu_millis
@@ -221,7 +222,7 @@
 
 
 def encode_progress(job: JobProgress) -> bytes:
-    """Return the durable form of a job's progress."""
+    """Return the stored form of a job's progress."""
     fields: dict[str, object] = {"epoch": job.first_epoch}
     if job.is_final:
         fields["state"] = job.state.value
@@ -252,7 +253,7 @@
 
 
 def restore_progress(job: JobProgress, value: bytes) -> None:
-    """Apply a stored progress to a fresh job; raises ValueError or KeyError."""
+    """Apply stored progress to a new job; raises ValueError or KeyError."""
     fields = json.loads(value)
     job.first_epoch = int(fields["epoch"])
     job.adopted_epoch = job.first_epoch
@@ -283,7 +284,7 @@
 
 
 def mark_done(step: StepState, task: TaskState) -> None:
-    """Note that a task ended as done."""
+    """Mark a task as done, so that it is not started again."""
     if not task.is_done:
         task.is_done = True
         step.done_count += 1
@@ -291,7 +292,7 @@
 
 
 def encode_spec(spec: model.JobSpec) -> bytes:
-    """Return the durable form of a job as submitted."""
+    """Return the stored form of a job as submitted."""
     steps = []
     for step in spec.steps:
         fields: dict[str, object] = {}
@@ -309,7 +310,7 @@
 
 
 def decode_spec(job_id: str, value: bytes) -> model.JobSpec:
-    """Return the job of a durable form; raises ValueError, KeyError or TypeError."""
+    """Return the job of a stored form; raises ValueError, KeyError or TypeError."""
     fields = json.loads(value)
     steps = tuple(
         model.StepSpec(**{**step, "after": tuple(step.get("after", ()))})
--- a/clementinespar/jobs/task_placer.py
+++ b/clementinespar/jobs/task_placer.py
@@ -1,4 +1,4 @@
-"""Starts the waiting tasks of one job where there is room."""
+"""Starts the waiting tasks of a job on workers with enough free capacity."""
 
 import asyncio
 import collections
@@ -14,7 +14,7 @@
 
 
 class TaskPlacer:
-    """Places tasks for the owner of a pool, which tells the order of the jobs."""
+    """Places tasks for the owner of a pool, which decides the order of the jobs."""
 
     _epoch: int
     _sessions_by_id: dict[str, worker_session.WorkerSession]
@@ -39,7 +39,7 @@
     def place(
         self, job: state.JobProgress, free_capacity: placement.FreeCapacity, now: float
     ) -> None:
-        """Start the tasks of a job whose turn has come, as far as there is room."""
+        """Start the ready tasks of a job, as far as the free capacity allows."""
         if not free_capacity.has_any():
             return
         for occurrence in job.occurrences.values():
@@ -83,7 +83,7 @@
         tickets: dict[str, str],
         now: float,
     ) -> None:
-        """Start all members with one run number, or none."""
+        """Start all members under one run number, or none of them."""
         if len(step.waiting) < len(step.tasks) or any(
             task.not_before > now for task in step.tasks
         ):
@@ -101,7 +101,11 @@
     def count_per_worker(
         self, job: state.JobProgress, step: state.StepState
     ) -> collections.Counter[str]:
-        """Return the runs of a lasting or bounded step on each worker id."""
+        """Return the number of runs of a step on each worker id.
+
+        Only steps that are lasting or have a limit per worker need it; for others the
+        result is empty.
+        """
         counts: collections.Counter[str] = collections.Counter()
         if not step.spec.max_per_worker and not step.spec.is_lasting:
             return counts
--- a/clementinespar/jobs/telemetry.py
+++ b/clementinespar/jobs/telemetry.py
@@ -1,4 +1,4 @@
-"""Decision log and metrics of the slice."""
+"""Event log and metrics of jobs on a node."""
 
 import json
 import os
@@ -9,15 +9,15 @@
 from clementinespar import codes
 from clementinespar.jobs import services
 
-LINES_PER_S = 400.0  # above this, lines are dropped and counted
+LINES_PER_S = 400.0  # above this rate, lines are dropped and counted
 BURST_LINES = 800.0
-MAX_PENDING_BYTES = 256 * 1024  # kept while the output does not take more
+MAX_PENDING_BYTES = 256 * 1024  # buffered while the output would block
 
 _JOB_SECONDS = (0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 5.0, 8.0, 15.0, 30.0)
 
 
 def log_invalid_entry(log_event: services.EventLog, key: str, error: Exception) -> None:
-    """Note an entry of the store that cannot be read; the rest goes on."""
+    """Log an entry of the store that cannot be decoded and is skipped."""
     log_event(
         "entry_invalid",
         code=int(codes.ResultCode.ENTRY_INVALID),
@@ -71,31 +71,31 @@
         )
 
     def count_start(self) -> None:
-        """Count one start."""
+        """Count an ordered start of a task."""
         self._starts.inc()
 
     def count_end(self, kind: str) -> None:
-        """Count one end."""
+        """Count the end of a run."""
         self._ends.labels(kind).inc()
 
     def observe_job(self, state: str, age_ms: float) -> None:
-        """Count one final state."""
+        """Count a job that reached a final state, by the time since acceptance."""
         self._job_seconds.labels(state).observe(age_ms / 1000)
 
     def observe_answer(self, call: str, status: int, seconds: float) -> None:
-        """Count one answer to a caller."""
+        """Count an answer to a caller, by the time that it took."""
         self._answers.labels(call, str(status)).inc()
         self._answer_seconds.labels(call).observe(seconds)
 
     def render(self) -> bytes:
-        """Return the text that Prometheus reads."""
+        """Return all metrics in the text format of Prometheus."""
         return prometheus_client.generate_latest(self.registry)
 
 
 class JsonEventLog:
-    """Writes one JSON line for each decision and never blocks.
+    """`services.EventLog` that writes JSON lines and never blocks.
 
-    Lines above the rate are dropped; the next line tells how many.
+    Lines above the rate are dropped; the next line has their number.
     """
 
     _descriptor: int
@@ -135,8 +135,8 @@
         try:
             written = os.write(self._descriptor, self._pending)
         except BlockingIOError:
-            return  # kept for the next line
+            return  # written with the next line
         except OSError:
-            self._pending.clear()  # nobody reads the output any more
+            self._pending.clear()  # the output is closed
             return
         del self._pending[:written]
--- a/clementinespar/jobs/tests/test_pool_owner.py
+++ b/clementinespar/jobs/tests/test_pool_owner.py
@@ -294,7 +294,7 @@
         await asyncio.sleep(0.5)
         explained = owner.explain("a")
         assert explained is not None
-        assert explained.waits_for == "workers of the former owner that do not answer"
+        assert explained.waits_for == "unresponsive workers of the previous owner"
         assert any("0 of 2 tasks done" in line for line in explained.because)
         assert owner.explain("missing") is None
 
--- a/clementinespar/jobs/worker_session.py
+++ b/clementinespar/jobs/worker_session.py
@@ -1,8 +1,8 @@
-"""One task for each worker: renews its lease, reads its lists, gives it orders.
+"""Session with one worker: renews its lease, reads its reports and sends its orders.
 
-An order without an answer is open, not failed: its run counts as executing until the
-worker lists it, or a stop of that same run was answered and a later list does not show
-it, or the worker's lease has certainly ended.
+A start without an answer has not failed: its run counts as executing until the worker
+lists it, or until a stop of the same run was answered and a later report does not list
+it, or until the worker's lease has certainly ended.
 """
 
 import asyncio
@@ -16,24 +16,24 @@
 # A worker's clock may run 2% slow, so a lease lasts that much longer in real time.
 MIN_CLOCK_RATE = 0.98
 LEASE_MARGIN_S = 0.15  # network and timer delay beyond the end of a lease
-RENEW_WAIT_MS = 800  # a renewal waits this long for an end
-SETTLE_WAIT_MS = 60  # shorter wait while a stop or an open order is outstanding
-RENEW_SPACING_S = 0.025  # collects ends, since each renewal is priced
+RENEW_WAIT_MS = 800  # a renewal waits at the worker this long for a run to end
+SETTLE_WAIT_MS = 60  # shorter wait while a start or a stop has no answer
+RENEW_SPACING_S = 0.025  # batches ends, since each renewal has a price
 RETRY_DELAY_S = 0.15
 UNRESPONSIVE_AFTER_S = 1.6  # no new work for a worker without contact for this long
-EJECT_FAILED_JOBS = 2  # jobs that failed in a row on a worker before it is ejected
+EJECT_FAILED_JOBS = 2  # failed jobs without a success between eject a worker
 EJECT_S = 2.5
-# A worker that was silent and back before within the window gets a pause of 1, 2, then
-# 4 s; an idle worker would otherwise attract work each time it returns.
+# A worker that has already become responsive again within the window gets no new work
+# for 1, 2, then 4 s; otherwise it would attract work each time it returns, being idle.
 FLAP_WINDOW_S = 15.0
 FLAP_PAUSE_MAX_S = 4.0
 
 
 class RunStatus(enum.Enum):
-    """How far a run is, as its owner knows it."""
+    """State of a run, as its owner knows it."""
 
     STARTING = "starting"
-    OPEN = "open"  # the start has no answer
+    OPEN = "open"  # the start was sent and has no answer
     RUNNING = "running"
     STOPPING = "stopping"
 
@@ -62,15 +62,15 @@
     number: int
     spec: model.StepSpec
     status: RunStatus
-    started_at: float  # event-loop times
-    answered_at: float
+    started_at: float  # event-loop time, as are the following
+    answered_at: float  # when its start was answered, given up or first listed
     stop_answered_at: float | None
     is_stop_in_flight: bool
     percent: int
-    percent_at: float  # when the percent last changed
-    usage: int
-    paced_at: float | None  # when its pace last changed
-    pace: int  # percent
+    percent_at: float  # when `percent` last changed
+    usage: int  # as in `model.RunningTask`
+    paced_at: float | None  # when `pace` last changed
+    pace: int  # share of its speed, in percent
     session: "WorkerSession"
 
     def __init__(
@@ -98,50 +98,50 @@
 
 
 class RunEvents(Protocol):
-    """What a session tells the owner of its pool."""
+    """Events and queries of a session, handled by the owner of its pool."""
 
     def confirmed_at(self) -> float | None:
-        """Return when the newest confirmation of ownership was asked for."""
+        """Return when the last call that confirmed ownership was sent."""
         ...
 
     def may_lease(self, worker_id: str) -> bool:
-        """Whether the next owner would learn from the store of a lease there."""
+        """Whether the stored record tells the next owner of a lease on the worker."""
         ...
 
     def on_contact(self, session: "WorkerSession") -> None:
-        """Note that a renewal was answered."""
+        """Handle the report of an answered renewal."""
         ...
 
     def on_unresponsive(self, session: "WorkerSession") -> None:
-        """Note that a renewal had no answer."""
+        """Handle a renewal without an answer."""
         ...
 
     def on_end(
         self, session: "WorkerSession", end: model.EndedTask, run: Run | None
     ) -> None:
-        """Apply an end from the worker's list."""
+        """Apply the end of a run that the worker lists."""
         ...
 
     def on_run_gone(self, session: "WorkerSession", run: Run, reason: str) -> None:
-        """Note that a run certainly does not execute, without an end."""
+        """Handle a run that certainly does not execute although no end was listed."""
         ...
 
     def on_unknown_run(
         self, session: "WorkerSession", listed: model.RunningTask
     ) -> Run | None:
-        """Return the run to track for one that a former owner started."""
+        """Return the run to track for one of a previous owner; None if unwanted."""
         ...
 
     def on_fenced(self) -> None:
-        """Note that a worker has seen a later owner."""
+        """Handle a refused order: the worker has seen a later owner."""
         ...
 
     def on_ticket_rejected(self, session: "WorkerSession", run: Run) -> None:
-        """Note that a worker did not accept the ticket of a start."""
+        """Handle a start whose ticket the worker did not accept."""
         ...
 
     def orphan_spec(self, key: model.TaskKey) -> model.StepSpec:
-        """Return the size of a run that must be stopped."""
+        """Return the spec of a run that this owner does not want and has to stop."""
         ...
 
 
@@ -150,18 +150,18 @@
 
     entry: model.WorkerEntry
     fence: int
-    lease_s: float  # longest lease counted from the confirmation of ownership
+    lease_s: float  # longest lease, counted from the confirmation of ownership
     runs: dict[tuple[model.TaskKey, int], Run]
     free_cpu: int
     free_memory: int
     free_gpus: int
-    has_answered: bool  # it has answered this owner, so former owners are harmless
-    is_listed: bool  # the directory has it
+    has_answered: bool  # it knows the fence, so it refuses orders of previous owners
+    is_listed: bool  # the directory lists the worker
     is_evacuating: bool
-    lease_bound: float  # event-loop time after which nothing of ours executes there
-    last_contact: float
-    acknowledged: int  # ends up to here are stored
-    processed: int  # ends up to here are applied in memory
+    lease_bound: float  # event-loop time after which none of our runs executes there
+    last_contact: float  # event-loop time
+    acknowledged: int  # number of the last end that is stored
+    processed: int  # number of the last end that is applied in memory
     born_ms: int
     failed_jobs: set[str]
     ejected_until: float
@@ -172,7 +172,7 @@
     _clock_at: float
     _task: asyncio.Task[None] | None
     _orders: set[asyncio.Task[None]]
-    _returns: list[float]  # event-loop times at which it was back from silence
+    _returns: list[float]  # event-loop times at which it became responsive again
 
     def __init__(
         self,
@@ -211,11 +211,11 @@
         self._returns = []
 
     def open(self) -> None:
-        """Start the task of this worker."""
+        """Start the background task that renews the lease."""
         self._task = asyncio.create_task(self._renew_lease())
 
     def close(self) -> None:
-        """Stop calling the worker; runs there go on until their lease ends."""
+        """Stop calling the worker; its runs go on until the lease ends."""
         if self._task is not None:
             self._task.cancel()
         for order in self._orders:
@@ -233,7 +233,7 @@
         )
 
     def is_released(self) -> bool:
-        """Whether nothing runs on a worker that gets no new work for now."""
+        """Whether the worker has no runs and gets no new work at present."""
         now = asyncio.get_running_loop().time()
         return not self.runs and (
             self.is_evacuating
@@ -242,7 +242,7 @@
         )
 
     def fits(self, spec: model.StepSpec) -> bool:
-        """Whether the free capacity holds one more task of a step."""
+        """Whether the free capacity is enough for one more task of a step."""
         return (
             (spec.is_filler or spec.cpu_millis <= self.free_cpu)
             and spec.memory_mb <= self.free_memory
@@ -251,7 +251,7 @@
         )
 
     def add_run(self, run: Run) -> None:
-        """Count a run's capacity as in use."""
+        """Track a run and count its capacity as in use."""
         self.runs[(run.key, run.number)] = run
         if not run.spec.is_filler:
             self.free_cpu -= run.spec.cpu_millis
@@ -259,7 +259,7 @@
         self.free_gpus -= run.spec.gpus
 
     def drop_run(self, run: Run) -> bool:
-        """Free a run's capacity; False if it was not counted."""
+        """Stop tracking a run and free its capacity; False if it was not tracked."""
         if self.runs.pop((run.key, run.number), None) is None:
             return False
         if not run.spec.is_filler:
@@ -269,11 +269,11 @@
         return True
 
     def start(self, run: Run, payload: str, saved: str, ticket: str = "") -> None:
-        """Give the order to start a run, which must be counted already."""
+        """Send the order to start a run, which must be tracked already."""
         self._spawn(self._start(run, payload, saved, ticket))
 
     def stop(self, run: Run, reason: str) -> None:
-        """Give the order to stop a run."""
+        """Send the order to stop a run, unless it is being stopped already."""
         if run.status is RunStatus.STOPPING:
             return
         self._log_event(
@@ -289,14 +289,16 @@
         self._spawn(self._stop(run))
 
     def pace(self, run: Run, percent: int) -> None:
-        """Let a run work at a share of its speed."""
+        """Send the order to limit a run to a share of its speed, in percent."""
         run.pace = percent
         self._spawn(self._pace(run, percent))
 
     def lease_until_ms(self) -> int | None:
-        """Return the end of the lease on the worker's clock, or None without a basis.
+        """Return the end of the next lease on the worker's clock, in ms.
 
-        Also moves the bound after which the worker certainly runs nothing of ours.
+        Returns None if the worker's clock is unknown, if ownership is not confirmed for
+        long enough, or if the store does not know the worker to be in use. Otherwise
+        also advances `lease_bound`.
         """
         confirmed = self._events.confirmed_at()
         if self._clock_ms is None or confirmed is None:
@@ -311,7 +313,7 @@
         return self._clock_ms + int(MIN_CLOCK_RATE * left_s * 1000)
 
     def set_clock(self, clock_ms: int) -> None:
-        """Keep the worker's clock as read from a response."""
+        """Set the worker's clock to the time in a response."""
         self._clock_ms = clock_ms
         self._clock_at = asyncio.get_running_loop().time()
 
@@ -333,8 +335,8 @@
                     self.entry,
                     self.fence,
                     self.acknowledged,
-                    # A silent worker is only looked at: a renewal without an answer
-                    # may still arrive, and its lease would never certainly end.
+                    # An unresponsive worker gets no lease: a renewal without an answer
+                    # may still arrive, and the lease would never certainly end.
                     None if failures else self.lease_until_ms(),
                     0 if failures else wait_ms,
                 )
@@ -364,7 +366,7 @@
             await asyncio.sleep(RENEW_SPACING_S)
 
     def _record_return(self, failures: int) -> None:
-        """Keep new work for a while from a worker that goes and comes repeatedly."""
+        """Pause new work for a worker that was unresponsive repeatedly."""
         now = asyncio.get_running_loop().time()
         self._returns = [at for at in self._returns if now - at < FLAP_WINDOW_S]
         pause_s = 0.0
@@ -380,7 +382,7 @@
         )
 
     def _drop_lapsed_runs(self) -> None:
-        """Release runs of a silent worker once its lease has certainly ended."""
+        """Drop runs of an unresponsive worker once its lease has certainly ended."""
         now = asyncio.get_running_loop().time()
         if now < self.lease_bound + LEASE_MARGIN_S:
             return
@@ -544,7 +546,7 @@
                 self.entry, run.key, run.number, percent, self.fence
             )
         except errors.ClementinesparError as error:
-            # The next report shows the tail again, and the order is given anew.
+            # -1 differs from every pace, so the next report repeats the order.
             run.pace = -1
             self._log_event(
                 "pace_unanswered",
@@ -554,14 +556,14 @@
             )
 
     def record_outcome(self, job_id: str, is_failure: bool) -> bool:
-        """Count an outcome; True if the worker is ejected by it."""
+        """Record the outcome of a run; True if a failure ejects the worker."""
         if not is_failure:
             self.failed_jobs.clear()
             return False
         self.failed_jobs.add(job_id)
         if len(self.failed_jobs) < EJECT_FAILED_JOBS:
             return False
-        # One job stays counted, so that a single failed probe ejects again.
+        # One job stays counted, so that a failure of another job ejects again.
         self.failed_jobs = {job_id}
         self.ejected_until = asyncio.get_running_loop().time() + EJECT_S
         return True
--- a/clementinespar/jobs/worker_use.py
+++ b/clementinespar/jobs/worker_use.py
@@ -1,30 +1,27 @@
-"""Which workers may execute work of a pool, as far as the store knows.
+"""Record of the workers that may execute runs of a partition.
 
-The record lets a next owner wait for just those workers on which a former owner's
-lease may last. Time left is stored instead of a point in time, since the clocks of two
-nodes may differ.
+It is stored, so that the next owner waits only for workers on which a lease of a
+previous owner may last. The remaining time of a lease is stored instead of its end,
+since the clocks of two nodes may differ.
 """
 
 import asyncio
 import json
 
-ANY_WORKER = ""  # stands for all, if the record is unreadable
-RECORD_INTERVAL_S = 1.0  # between records of the time that former leases have left
+ANY_WORKER = ""  # stands for all workers if the record is unreadable
+RECORD_INTERVAL_S = 1.0  # between records of the remaining time of previous leases
 
 
 class WorkerUse:
-    """Workers that this owner uses, and leases of former owners."""
+    """Workers that this owner uses, and leases of previous owners."""
 
-    answered: set[str]  # workers on which former owners are harmless
+    answered: set[str]  # workers that refuse orders of previous owners
     in_use: set[str]  # workers on which a run of this owner may execute
-    stored: set[str]  # workers that the store knows to be in use by this owner
-    _unreached: set[str]  # used by the former owner, and not called long enough yet
-    _recorded: set[
-        str
-    ]  # workers in use by the newest record, which may not be stored yet
-    _lease_ends: dict[
-        str, float
-    ]  # worker id: event-loop time at which former leases end
+    stored: set[str]  # workers in use according to the stored record
+    # Used by the previous owner; recorded as in use until there was time to call them.
+    _unreached: set[str]
+    _recorded: set[str]  # workers in use by the newest record, stored or not
+    _lease_ends: dict[str, float]  # worker id: event-loop end of previous leases
     _recorded_at: float  # event-loop time
 
     def __init__(self) -> None:
@@ -38,17 +35,17 @@
 
     @property
     def previous_worker_count(self) -> int:
-        """Number of workers on which a former lease may last."""
+        """Number of workers on which a lease of a previous owner may last."""
         return len(self._lease_ends)
 
     def previous_lease_end(self, worker_id: str) -> float:
-        """Return the event-loop time at which former leases on a worker have ended."""
+        """Return the event-loop time at which previous leases on a worker end."""
         return max(
             self._lease_ends.get(worker_id, 0.0), self._lease_ends.get(ANY_WORKER, 0.0)
         )
 
     def is_settled(self) -> bool:
-        """Whether no worker can still execute what a former owner started unseen."""
+        """Whether no worker can execute runs of previous owners unknown to this one."""
         now = asyncio.get_running_loop().time()
         return all(
             now > end or worker_id in self.answered
@@ -56,30 +53,30 @@
         )
 
     def is_due(self) -> bool:
-        """Whether the record is to be stored."""
+        """Whether the record has to be stored again."""
         if self.in_use | self._unreached != self.stored:
             return True
         now = asyncio.get_running_loop().time()
         return bool(self._lease_ends) and now - self._recorded_at > RECORD_INTERVAL_S
 
     def wait_for_all(self, fenced_at: float, lease_s: float) -> None:
-        """Expect leases everywhere, as the former owner's record is unreadable."""
+        """Assume a lease on every worker, as the previous record is unreadable."""
         self._lease_ends[ANY_WORKER] = fenced_at + lease_s
 
     def restore(self, value: bytes, fenced_at: float, lease_s: float) -> None:
-        """Read the former owner's record.
+        """Restore the record of the previous owner.
 
-        The workers that it used count as stored, as a next owner reads the same record
-        until this one writes its own: their leases are extended without a pause.
+        The workers that it used count as stored, since the next owner reads the same
+        record until this one writes its own. So their leases can be renewed at once.
 
         Parameters
         ----------
         value : bytes
             The record.
         fenced_at : float
-            Event-loop time after which the former owner could store nothing.
+            Event-loop time after which the previous owner could store nothing.
         lease_s : float
-            Longest time that its leases last, in seconds.
+            Longest duration of its leases, in seconds.
 
         Raises
         ------
@@ -101,8 +98,9 @@
     def encode(self) -> bytes:
         """Return the record for the next owner.
 
-        A worker that this owner has not reached within the interval keeps the end of
-        its former leases. It gets no lease from here on until it is stored again.
+        A worker that this owner has not reached within the interval is recorded only
+        with the end of its previous leases. It gets no lease until a record that has it
+        in use is stored.
         """
         now = asyncio.get_running_loop().time()
         if now - self._recorded_at > RECORD_INTERVAL_S:
@@ -122,5 +120,5 @@
         return json.dumps(fields, separators=(",", ":")).encode()
 
     def mark_stored(self) -> None:
-        """Note that the newest record is stored."""
+        """Set the workers of the newest record as stored."""
         self.stored = set(self._recorded)
