--- a/clementinespar/jobs/capacity.py
+++ b/clementinespar/jobs/capacity.py
@@ -90,7 +90,7 @@
 
 
 def update_resting(peaks: dict[str, PeakState]) -> None:
-    """Update which pools are resting and may give away hosts of their home size.
+    """Update which pools are resting and may lend hosts of their home size.
 
     A pool rests after its peak. Once every pool has had its peak, the one whose peak
     ended first is expected to peak next, and gets its home size back.
--- a/clementinespar/jobs/model.py
+++ b/clementinespar/jobs/model.py
@@ -67,7 +67,7 @@
     occurrences: int = 0  # 0: runs once, without a due time
     accepted_ms: int = 0  # Unix ms
     max_attempts: int = 1
-    priority: int = 0  # lower goes first
+    priority: int = 0  # jobs with a lower value are placed first
     # The objective: `stretch` times the estimated duration, plus `objective_ms`.
     stretch: float = 1.0
     objective_ms: int = 0
--- a/clementinespar/jobs/pool_owner.py
+++ b/clementinespar/jobs/pool_owner.py
@@ -64,7 +64,7 @@
 
 
 class PoolOwner:
-    """Decisions for one partition of pools; made by `own_partition`."""
+    """Decides for one partition of pools; run by `own_partition`."""
 
     partition: int
     epoch: int
@@ -202,7 +202,7 @@
         end: model.EndedTask,
         run: worker_session.Run | None,
     ) -> None:
-        """Apply the end of a run, whichever owner started it."""
+        """Apply the end of a run once, whichever owner started it."""
         self.metrics.count_end(end.kind.value)
         self._schedule_wanted.set()
         found = self._find_open_task(end.task)
@@ -289,7 +289,7 @@
     def _find_open_task(
         self, key: model.TaskKey
     ) -> tuple[state.JobProgress, state.TaskState] | None:
-        """Return a task and its job, or None if the job is final or lacks the task."""
+        """Return a task and its job, or None if the job is final or has no such task."""
         job = self.jobs_by_id.get(key.job_id)
         task = None if job is None or job.is_final else job.find_task(key)
         return None if job is None or task is None else (job, task)
--- a/clementinespar/jobs/tests/__init__.py
+++ b/clementinespar/jobs/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the slice for jobs."""
+"""Tests of jobs on workers."""
--- a/clementinespar/jobs/tests/fakes.py
+++ b/clementinespar/jobs/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of the store and of workers, with the faults that the platform can have.
+"""Fakes of the platform services, with the faults that these may have.
 
 They follow the published protocol: fences, leases on the worker's own clock, ends that
 are listed until they are acknowledged, appends that may be done without an answer.
@@ -14,7 +14,7 @@
 
 
 def ignore_event(event: str, **fields: object) -> None:
-    """Drop a decision."""
+    """Discard an event, as `services.EventLog`."""
 
 
 CALL_TIMEOUT_S = 1.0  # a call without an answer is given up after this long
@@ -22,15 +22,15 @@
 
 async def _time_out_call() -> None:
     await asyncio.sleep(CALL_TIMEOUT_S)
-    raise errors.ClementinesparError(codes.ResultCode.STORE_UNANSWERED, "silent")
+    raise errors.ClementinesparError(codes.ResultCode.STORE_UNANSWERED, "no answer")
 
 
 class FakeStore:
     """`services.JobStore` in memory."""
 
     is_down: bool
-    loses_answers: bool  # what is asked is done, and no answer comes
-    drops_calls: bool  # nothing is done, and no answer comes
+    loses_answers: bool  # appends are done, but not answered
+    drops_calls: bool  # appends are neither done nor answered
     values: dict[tuple[services.Topic, int], dict[str, bytes]]
 
     def __init__(self) -> None:
@@ -124,7 +124,7 @@
 
 @dataclasses.dataclass
 class FakeWorker:
-    """One worker: what runs there, under which fence and lease."""
+    """State of one worker: its runs, ends, fence and lease."""
 
     entry: model.WorkerEntry
     born_ms: int = 1
@@ -132,12 +132,12 @@
     lease_until_ms: float = 0.0
     running: dict[model.TaskKey, tuple[int, float]] = dataclasses.field(
         default_factory=dict
-    )  # run and the loop time of its end
+    )  # run and the event-loop time of its end
     ended: list[model.EndedTask] = dataclasses.field(default_factory=list)
     ended_runs: dict[model.TaskKey, int] = dataclasses.field(default_factory=dict)
     next_number: int = 1
-    is_unresponsive: bool = False  # it runs on and answers nothing
-    loses_answers: bool = False  # orders arrive, answers do not
+    is_unresponsive: bool = False  # runs go on, but calls do nothing and time out
+    loses_answers: bool = False  # orders are carried out, but not answered
     end_kind: model.EndKind = model.EndKind.DONE
     loses_acknowledgements: bool = False  # acknowledgements never arrive
 
@@ -149,7 +149,7 @@
     workers: dict[str, FakeWorker]
     starts: list[tuple[model.TaskKey, int, str]]
     violations: list[str]
-    task_s: float  # run time of every task that does not last
+    task_s: float  # run time of tasks that are not lasting
     is_loaded: bool
 
     def __init__(self, count: int = 2, pool: str = "quotes", cpu: int = 4000) -> None:
@@ -179,12 +179,12 @@
         """Do nothing; the entries are always current."""
 
     def crash(self, worker_id: str) -> None:
-        """Lose everything on a worker; it comes back empty under its id."""
+        """Restart a worker under its id, without its runs and ends."""
         worker = self.workers[worker_id]
         self.workers[worker_id] = FakeWorker(worker.entry, worker.born_ms + 1)
 
     def advance(self, worker: FakeWorker) -> None:
-        """Let leases lapse and tasks end."""
+        """End runs of a worker whose lease or run time has ended."""
         now = asyncio.get_running_loop().time()
         for task, (run, ends_at) in list(worker.running.items()):
             is_lapsed = worker.lease_until_ms / 1000 < min(now, ends_at)
@@ -207,7 +207,7 @@
         self.advance(worker)
         if worker.is_unresponsive:
             await asyncio.sleep(0.5)
-            raise http_calls.CallUnansweredError("silent")
+            raise http_calls.CallUnansweredError("the worker does not answer")
         return worker
 
     def _check_answer(self, worker: FakeWorker) -> None:
@@ -295,13 +295,13 @@
                 raise http_calls.CallUnansweredError("the worker crashed")
             self.advance(fake)
         if fake.is_unresponsive or fake.loses_answers:
-            raise http_calls.CallUnansweredError("silent")
+            raise http_calls.CallUnansweredError("the worker does not answer")
         now = asyncio.get_running_loop().time()
         return model.WorkerReport(
             int(now * 1000),
             fake.born_ms,
             [
-                # The progress changes with time, so no run looks stuck.
+                # The progress changes with time, so that no run counts as stuck.
                 model.RunningTask(task, run, "", int(now * 10) % 100, 0)
                 if task.job_id not in self.lasting_jobs
                 else model.RunningTask(task, run, "", 100, 0)
@@ -322,7 +322,7 @@
 
 
 class FakeAdviser:
-    """`services.Adviser` that allows some workers and may refuse calls."""
+    """`services.Adviser` that issues tickets for `allowed_ids` and may refuse calls."""
 
     allowed_ids: set[str]
     is_busy: bool
@@ -349,7 +349,7 @@
 
 
 class FakeGroup:
-    """`services.OwnershipGroup` with one member that may lose its partitions."""
+    """`services.OwnershipGroup` with one member, whose assignment the test sets."""
 
     assignment: services.Assignment
     is_down: bool
@@ -371,7 +371,7 @@
         return self.assignment
 
     async def leave(self) -> None:
-        """Do nothing; the test tells the next assignment."""
+        """Do nothing; the test sets the next assignment."""
 
     async def list_owners(self) -> Mapping[int, str]:
         if self.drops_calls:
--- a/clementinespar/jobs/tests/helpers.py
+++ b/clementinespar/jobs/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Owners of pools on fakes."""
+"""Helpers that run owners of pools on fakes."""
 
 import asyncio
 import contextlib
@@ -43,12 +43,12 @@
 
 
 class OwnerHarness:
-    """A store, workers, and one owner after another."""
+    """A store, workers and a sequence of owners."""
 
     store: fakes.FakeStore
     workers: fakes.FakeWorkers
     adviser: fakes.FakeAdviser
-    confirmed_at: float | None  # None: the store's confirmation is counted from now
+    confirmed_at: float | None  # None: ownership counts as confirmed just now
     owner: pool_owner.PoolOwner
     epoch: int
     _frozen_by_epoch: dict[int, float]
@@ -89,11 +89,11 @@
         return self.owner
 
     def freeze_confirmation(self, now: float) -> None:
-        """Let the confirmation of the present owner age from now on."""
+        """Fix the time of the current owner's confirmation, so that it ages."""
         self._frozen_by_epoch.setdefault(self.epoch, now)
 
     async def submit(self, spec: model.JobSpec) -> None:
-        """Store a job as a node does."""
+        """Store a job as a node does on submission."""
         for number, step in enumerate(spec.steps):
             self.workers.cpu_by_step[spec.job_id, number] = step.cpu_millis
             if step.is_lasting:
@@ -115,7 +115,7 @@
     async def wait_state(
         self, job_id: str, wanted: model.JobState, timeout_s: float = 30.0
     ) -> None:
-        """Wait until the owner shows a state."""
+        """Wait until the owner reports a state."""
         async with asyncio.timeout(timeout_s):
             while True:
                 with contextlib.suppress(Exception):
@@ -126,7 +126,7 @@
 
 @contextlib.asynccontextmanager
 async def run_owner(harness: OwnerHarness) -> AsyncIterator[pool_owner.PoolOwner]:
-    """Run the next owner while the context is entered."""
+    """Run the next owner inside the context."""
     owner = harness.make_owner()
     async with pool_owner.own_partition(owner):
         yield owner
--- a/clementinespar/jobs/tests/test_capacity.py
+++ b/clementinespar/jobs/tests/test_capacity.py
@@ -6,7 +6,7 @@
 
 
 def make_view(name: str, hosts: int = 8, **fields: object) -> capacity.PoolView:
-    """Return a pool of hosts with 16 cores, all idle unless told otherwise."""
+    """Return a pool of hosts with 16 cores; they are idle unless `fields` differ."""
     values: dict[str, object] = {"movable": [f"{name}-{n}" for n in range(hosts)]}
     return capacity.PoolView(name, False, 16.0, hosts, **(values | fields))  # type: ignore[arg-type]
 
@@ -18,22 +18,22 @@
 
 
 def test_pool_keeps_its_home_size_before_its_peak() -> None:
-    """Guards against an idle pool that has no hosts when its peak begins."""
+    """Guards against a pool that has lost its hosts when its peak begins."""
     assert not capacity.plan_moves([make_view("a"), make_spare(4)], {}, 0.0)
 
 
 def test_peak_takes_spare_hosts() -> None:
-    """Guards against spare hosts that idle while work waits."""
+    """Guards against spare hosts that stay idle while work waits."""
     view = make_view(
         "a", used_cores=128.0, waiting_cores=60.0, arriving_cores=180.0, movable=[]
     )
     moves = capacity.plan_moves([view, make_spare(8)], {}, 0.0)
     assert {move.destination for move in moves} == {"a"}
-    assert len(moves) == 5  # as much as waits, not as much as arrives
+    assert len(moves) == 5  # for the work that waits, not for all that arrives
 
 
 def test_peak_is_bounded() -> None:
-    """Guards against all hosts in one pool after one large job."""
+    """Guards against moving all hosts to one pool because of one large job."""
     view = make_view(
         "a", used_cores=128.0, waiting_cores=900.0, arriving_cores=900.0, movable=[]
     )
@@ -42,20 +42,20 @@
 
 
 def test_late_work_brings_no_hosts() -> None:
-    """Guards against hosts that come for work which is late before they arrive."""
+    """Guards against moves for work that is late before the hosts arrive."""
     view = make_view("a", used_cores=128.0, arriving_cores=300.0, movable=[])
     assert not capacity.plan_moves([view, make_spare(8)], {}, 0.0)
 
 
 def run_peak(peaks: dict[str, capacity.PeakState], name: str, start: float) -> None:
-    """Let a pool have its peak and its end."""
+    """Plan moves through the peak of a pool and its end."""
     capacity.plan_moves([make_view(name, used_cores=100.0, movable=[])], peaks, start)
     for second in (1.0, 3.0):
         capacity.plan_moves([make_view(name, movable=[])], peaks, start + second)
 
 
 def test_idle_hosts_move_to_the_spare_pool_after_the_peak() -> None:
-    """Guards against hosts that are paid for while nothing runs there."""
+    """Guards against idle hosts that stay in a pool and cost money after its peak."""
     peaks = {"a": capacity.PeakState(8), "b": capacity.PeakState(8)}
     run_peak(peaks, "a", 10.0)
     moves = capacity.plan_moves(
@@ -66,7 +66,7 @@
 
 
 def test_first_pool_gets_its_home_size_back_when_all_had_their_peak() -> None:
-    """Guards against a second cycle that meets pools without hosts."""
+    """Guards against pools without hosts at the start of the next cycle of peaks."""
     peaks = {"a": capacity.PeakState(8), "b": capacity.PeakState(8)}
     run_peak(peaks, "a", 10.0)
     run_peak(peaks, "b", 20.0)
@@ -80,13 +80,13 @@
     [
         ([0.0], False),
         ([80.0], True),
-        ([80.0, 20.0], True),  # short dips do not end a turn
+        ([80.0, 20.0], True),  # a short dip does not end a peak
         ([80.0, 20.0, 20.0, 20.0], False),
         ([80.0, 20.0, 60.0, 20.0], True),
     ],
 )
 def test_peak_detection(uses: list[float], is_peaking: bool) -> None:
-    """Guards against moves on every short change of demand."""
+    """Guards against moves after every short change of demand."""
     peak = capacity.PeakState(8)
     for second, used in enumerate(uses):
         view = make_view("a", used_cores=used)
@@ -95,7 +95,7 @@
 
 
 def test_idle_hosts_are_lent_before_the_own_peak() -> None:
-    """Guards against work that is late beside idle hosts of another pool."""
+    """Guards against work that becomes late while hosts of another pool are idle."""
     peaking_view = make_view(
         "a", used_cores=128.0, waiting_cores=90.0, arriving_cores=260.0, movable=[]
     )
@@ -105,7 +105,7 @@
 
 
 def test_idle_hosts_are_lent_at_the_end_of_a_peak() -> None:
-    """Guards against hosts that idle until a turn is certainly over."""
+    """Guards against hosts that stay idle until the end of a peak is certain."""
     peaks = {"a": capacity.PeakState(8), "b": capacity.PeakState(8)}
     capacity.plan_moves([make_view("a", used_cores=100.0, movable=[])], peaks, 0.0)
     ending_view = make_view("a", hosts=12, used_cores=50.0)
@@ -118,7 +118,7 @@
 
 
 def test_pool_with_waiting_work_lends_nothing() -> None:
-    """Guards against hosts that go round between pools that all lack some."""
+    """Guards against moving hosts back and forth between pools that all lack some."""
     views = [
         make_view(name, used_cores=128.0, waiting_cores=90.0, arriving_cores=260.0)
         for name in ("a", "b")
@@ -127,7 +127,7 @@
 
 
 def test_need_is_kept_between_uneven_arrivals() -> None:
-    """Guards against hosts that leave a peak during a short gap."""
+    """Guards against hosts that leave a pool at its peak during a short gap."""
     peaks = {"a": capacity.PeakState(8)}
     busy = make_view(
         "a", hosts=12, used_cores=180.0, arriving_cores=180.0, movable=["a-1"]
--- a/clementinespar/jobs/tests/test_fenced_log.py
+++ b/clementinespar/jobs/tests/test_fenced_log.py
@@ -11,10 +11,10 @@
 
 @paused_clock.test
 async def test_appends_of_two_tasks_keep_their_order() -> None:
-    """Guards against an owner that fences itself out.
+    """Guards against an owner that fences itself out with concurrent appends.
 
-    The store takes an append whose predecessor is missing as one of a former owner. The
-    drop of old states meets a repeated append of progress after an outage.
+    An append whose predecessor is missing is refused as fenced. After an outage,
+    housekeeping may append while an append of progress is retried.
     """
     store = fakes.FakeStore()
     log = fenced_log.FencedLog(store, PARTITION, 1, 0.1, fakes.ignore_event)
--- a/clementinespar/jobs/tests/test_owner_machine.py
+++ b/clementinespar/jobs/tests/test_owner_machine.py
@@ -1,4 +1,4 @@
-"""Random histories of owners, workers and the store."""
+"""Stateful test of owners, workers and the store under random faults."""
 
 import asyncio
 import contextlib
@@ -17,7 +17,11 @@
 
 
 class OwnerMachine(stateful.RuleBasedStateMachine):
-    """Guards against double runs, starts after an acknowledged end, and overload."""
+    """Guards against violations that `FakeWorkers` finds.
+
+    These are two runs of a task at once, a start after an acknowledged end, and runs
+    beyond the capacity of a worker.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -32,7 +36,7 @@
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
     def call(self, command: Coroutine[Any, Any, None]) -> None:
-        """Make a call of a node; without an answer it may have an effect."""
+        """Run a command of a node; it may have an effect even if it fails."""
         with contextlib.suppress(errors.ClementinesparError):
             self.loop.run_until_complete(command)
 
@@ -57,9 +61,9 @@
 
     @stateful.rule(is_planned=strategies.booleans())
     def change_owner(self, is_planned: bool) -> None:
-        """Start a next owner; an unplanned change leaves the former one acting.
+        """Start the next owner; an unplanned change leaves the previous one running.
 
-        The former owner has its last confirmation from the moment of the change.
+        The last confirmation of the previous owner is from the time of the change.
         """
         previous, previous_tasks = self.owner, self.tasks
         self.harness.freeze_confirmation(self.loop.time())
@@ -89,7 +93,7 @@
         self.harness.workers.crash(f"quotes-{number}")
 
     @stateful.rule(is_down=strategies.booleans())
-    def set_store(self, is_down: bool) -> None:
+    def set_store_down(self, is_down: bool) -> None:
         self.harness.store.is_down = is_down
 
     @stateful.rule(is_lossy=strategies.booleans())
--- a/clementinespar/jobs/tests/test_ownership.py
+++ b/clementinespar/jobs/tests/test_ownership.py
@@ -14,14 +14,14 @@
 
 @dataclasses.dataclass
 class FakeFleetOwner:
-    """A holder of orders to hosts."""
+    """`ownership.FleetOwnerHandle` that the test can mark as lost."""
 
     epoch: int
     is_lost: bool = False
 
 
 class ManagerHarness:
-    """A keeper on a group whose assignments the test sets."""
+    """An ownership manager on a group whose assignments the test sets."""
 
     ownership_manager: ownership.OwnershipManager
 
@@ -61,7 +61,7 @@
 
     @contextlib.asynccontextmanager
     async def own_fleet(self, epoch: int) -> AsyncIterator[FakeFleetOwner]:
-        """Count the holders that are open at once."""
+        """Create a fake owner of the fleet and count those that are open."""
         fleet_owner = FakeFleetOwner(epoch)
         self.fleet_owners.append(fleet_owner)
         self.open_fleet_owners += 1
@@ -77,7 +77,7 @@
 
 @paused_clock.test
 async def test_epoch_stays_while_the_partition_stays() -> None:
-    """Guards against a pool that is read anew whenever another node comes or goes."""
+    """Guards against a partition that is loaded again whenever the group changes."""
     harness = ManagerHarness(frozenset({PARTITION}))
     async with ownership.run_ownership_manager(harness.ownership_manager):
         await asyncio.sleep(3.0)
@@ -94,7 +94,7 @@
 
 @paused_clock.test
 async def test_fenced_owner_waits_for_a_later_generation() -> None:
-    """Guards against two owners that act under one epoch."""
+    """Guards against two owners that act under the same epoch."""
     harness = ManagerHarness(frozenset({PARTITION}))
     async with ownership.run_ownership_manager(harness.ownership_manager):
         await asyncio.sleep(3.0)
@@ -108,7 +108,7 @@
 
 @paused_clock.test
 async def test_fenced_fleet_owner_comes_back_with_a_later_generation() -> None:
-    """Guards against waves that stand still after the store dealt partitions anew."""
+    """Guards against waves that stop after the store has reassigned partitions."""
     harness = ManagerHarness(frozenset({ownership.FLEET_PARTITION}))
     async with ownership.run_ownership_manager(harness.ownership_manager):
         await asyncio.sleep(3.0)
@@ -124,7 +124,7 @@
 
 @paused_clock.test
 async def test_confirmation_counts_from_before_the_call() -> None:
-    """Guards against leases that outlive what the store has confirmed."""
+    """Guards against leases that last longer than the confirmed ownership."""
     harness = ManagerHarness(frozenset({PARTITION}))
     async with ownership.run_ownership_manager(harness.ownership_manager):
         await asyncio.sleep(3.0)
@@ -137,7 +137,7 @@
 
 @paused_clock.test
 async def test_small_node_owns_nothing_while_larger_ones_do() -> None:
-    """Guards against a busy pool on a machine with half a core."""
+    """Guards against a busy pool whose owner runs on a host with half a core."""
     harness = ManagerHarness(frozenset({PARTITION}))
     harness.group.owners = {
         number: ownership.format_member(f"10.0.0.{number}:1", 5, 2_000)
@@ -145,7 +145,7 @@
     }
     async with ownership.run_ownership_manager(harness.ownership_manager):
         await asyncio.sleep(5.0)
-        assert not harness.epochs  # it never owned the pool, not even for a moment
+        assert not harness.epochs  # the node has never owned the partition
         assert not harness.ownership_manager.owners_by_partition
         assert harness.ownership_manager.reached_at is not None
         del harness.group.owners[1]
@@ -154,7 +154,7 @@
 
 
 def test_member_names() -> None:
-    """Guards against a size that is read from another part of the name."""
+    """Guards against a size that is parsed from another part of the name."""
     member = ownership.format_member("10.0.0.1:7060", 1_790_000_000_000, 516)
     assert ownership.parse_core_millis(member) == 516
     assert ownership.parse_core_millis("") == 0
--- a/clementinespar/jobs/tests/test_placement.py
+++ b/clementinespar/jobs/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of the order of jobs."""
+"""Tests of the order of jobs, the choice of workers and the pacing of fillers."""
 
 import asyncio
 import collections
@@ -22,17 +22,17 @@
         (False, True, -0.1, placement.BEGUN),
         (False, True, -1.0, placement.LATE),
         (False, False, 1.0, placement.NEW),
-        (False, False, 0.01, placement.LATE),  # it would end just after its objective
+        (False, False, 0.01, placement.LATE),  # likely to end just after its objective
         (False, False, -1.0, placement.LATE),
     ],
 )
 def test_class_of_a_job(
     is_lasting: bool, has_started: bool, slack_s: float, wanted: int
 ) -> None:
-    """Guards against overload in which every job ends just after its objective."""
+    """Guards against an order in which, under overload, all jobs end slightly late."""
     job = state.JobProgress(helpers.make_spec("a", is_lasting=is_lasting))
     job.has_started = has_started
-    job.deadline = 10.0 + 0.5 + slack_s  # the chain takes 500 ms
+    job.deadline = 10.0 + 0.5 + slack_s  # the chain of steps takes 500 ms
     assert placement.rank(job, 10.0, estimate_ms)[0] == wanted
 
 
@@ -78,7 +78,7 @@
     avoided: set[str],
     wanted: str | None,
 ) -> None:
-    """Guards against starts over capacity, without the label or beyond the limit."""
+    """Guards against starts beyond the free capacity, the label or the limit."""
 
     async def scenario() -> None:
         sessions = [make_session("small"), make_session("big", 8000)]
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize(("size", "wanted"), [(4, True), (12, True), (13, False)])
 def test_gang_is_placed_whole_or_not_at_all(size: int, wanted: bool) -> None:
-    """Guards against members of a gang that wait for others without room."""
+    """Guards against members of a gang that wait for others that cannot start."""
 
     async def scenario() -> None:
         sessions = [make_session("a", 4000, "r1"), make_session("b", 8000, "r2")]
@@ -111,7 +111,7 @@
 def test_fillers_slow_down_before_the_target(
     tail_ms: int, pace: int, wanted: int | None
 ) -> None:
-    """Guards against serving tasks that stay over their target beside fillers."""
+    """Guards against fillers that keep the latency of serving tasks over the target."""
 
     async def scenario() -> None:
         session = make_session("a")
--- a/clementinespar/jobs/tests/test_pool_owner.py
+++ b/clementinespar/jobs/tests/test_pool_owner.py
@@ -13,7 +13,7 @@
 
 @paused_clock.test
 async def test_job_is_done_and_its_ends_are_acknowledged() -> None:
-    """Guards against ends that stay listed, which workers send again and again."""
+    """Guards against ends without acknowledgement, which workers list forever."""
     harness = helpers.OwnerHarness(fakes.FakeWorkers())
     async with helpers.run_owner(harness):
         await harness.submit(helpers.make_spec("a", task_count=5))
@@ -26,7 +26,7 @@
 
 @paused_clock.test
 async def test_done_is_stored_before_it_is_shown() -> None:
-    """Guards against a job that was shown as done and runs again after a loss."""
+    """Guards against a job shown as done that runs again after its owner is lost."""
     harness = helpers.OwnerHarness(fakes.FakeWorkers())
     async with helpers.run_owner(harness) as owner:
         await harness.submit(helpers.make_spec("a", task_count=1))
@@ -41,7 +41,7 @@
 
 @paused_clock.test
 async def test_all_nodes_lost_after_an_acknowledgement() -> None:
-    """Guards against an accepted job that no node knows after all lost power."""
+    """Guards against an accepted job that is lost when all nodes lose power."""
     harness = helpers.OwnerHarness(fakes.FakeWorkers())
     await harness.submit(helpers.make_spec("a"))
     async with helpers.run_owner(harness):
@@ -53,7 +53,7 @@
 
 @paused_clock.test
 async def test_next_owner_adopts_what_runs() -> None:
-    """Guards against a second run of a task that a former owner started."""
+    """Guards against a second run of a task that the previous owner started."""
     workers = fakes.FakeWorkers()
     workers.task_s = 3.0
     harness = helpers.OwnerHarness(workers)
@@ -68,7 +68,7 @@
 
 @paused_clock.test
 async def test_next_owner_waits_for_a_worker_that_it_cannot_reach() -> None:
-    """Guards against a second run while the first goes on behind a cut."""
+    """Guards against a second run while the first executes behind a network cut."""
     workers = fakes.FakeWorkers()
     workers.task_s = 60.0
     harness = helpers.OwnerHarness(workers)
@@ -84,12 +84,12 @@
     runs = sorted(
         run for _, run, worker_id in workers.starts if worker_id != unresponsive
     )
-    assert runs[-1] > 1000  # started again under a run above all of the first owner
+    assert runs[-1] > 1000  # started again with a number above those of the first owner
 
 
 @paused_clock.test
 async def test_new_job_starts_while_a_previous_worker_is_unresponsive() -> None:
-    """Guards against a pool that stands still after a change of owner."""
+    """Guards against a pool in which nothing starts after a change of owner."""
     workers = fakes.FakeWorkers(3)
     workers.task_s = 60.0
     harness = helpers.OwnerHarness(workers)
@@ -108,7 +108,7 @@
 async def test_lease_of_an_unresponsive_worker_ends() -> None:
     """Guards against renewals without answers that keep a lease from ever ending.
 
-    Found by the bench: a lasting task of a crashed worker did not start again.
+    A lasting task of a crashed worker would not start again.
     """
     workers = fakes.FakeWorkers(2)
     harness = helpers.OwnerHarness(workers)
@@ -125,7 +125,7 @@
 
 @paused_clock.test
 async def test_speculative_copy_starts_while_the_worker_is_unresponsive() -> None:
-    """Guards against a wait for the lease where a copy may run in parallel."""
+    """Guards against waiting for the lease to end where a copy may run in parallel."""
     workers = fakes.FakeWorkers(2)
     workers.task_s = 3.0
     harness = helpers.OwnerHarness(workers)
@@ -180,7 +180,7 @@
 
 @paused_clock.test
 async def test_nothing_starts_without_confirmed_ownership() -> None:
-    """Guards against orders of a node that the store has not confirmed for long."""
+    """Guards against orders of an owner whose confirmation by the store is too old."""
     workers = fakes.FakeWorkers()
     harness = helpers.OwnerHarness(workers)
     async with helpers.run_owner(harness):
@@ -195,7 +195,7 @@
 
 @paused_clock.test
 async def test_fenced_owner_gives_up() -> None:
-    """Guards against a frozen owner that goes on after its successor took over."""
+    """Guards against an owner that acts after the next owner has taken over."""
     workers = fakes.FakeWorkers()
     harness = helpers.OwnerHarness(workers)
     async with helpers.run_owner(harness) as first:
@@ -210,9 +210,9 @@
 
 @paused_clock.test
 async def test_worker_is_not_free_before_the_next_owner_has_read_it() -> None:
-    """Guards against an upkeep that ends lasting tasks right after a change of owner.
+    """Guards against maintenance that ends lasting tasks after a change of owner.
 
-    Found by the bench: a new owner without a session of the worker answered "free".
+    The next owner has no session with the worker yet, so it does not know its runs.
     """
     workers = fakes.FakeWorkers(2)
     harness = helpers.OwnerHarness(workers)
@@ -229,7 +229,7 @@
 
 @paused_clock.test
 async def test_evacuation_moves_no_more_lasting_tasks_than_may_miss() -> None:
-    """Guards against two lasting tasks of a step that are away at once."""
+    """Guards against an evacuation that takes two tasks of a step down at once."""
     workers = fakes.FakeWorkers(4)
     harness = helpers.OwnerHarness(workers)
     spec = helpers.make_spec("a", task_count=2, is_lasting=True, may_miss=1)
@@ -251,9 +251,9 @@
 
 @paused_clock.test
 async def test_pools_of_one_partition_stay_apart() -> None:
-    """Guards against a start on a worker of another pool.
+    """Guards against a start on a worker of another pool of the same partition.
 
-    Found by the bench: two pools may share a partition by their hash.
+    Pools are assigned to partitions by a hash, so two of them may share one.
     """
     workers = fakes.FakeWorkers(2, pool="quotes")
     workers.add("batches-0", "batches", cpu=64_000)
@@ -266,9 +266,9 @@
 
 @paused_clock.test
 async def test_unknown_job_is_not_reported_from_an_old_view() -> None:
-    """Guards against "unknown" for a job that was accepted while reads hung.
+    """Guards against reporting an accepted job as unknown while reads fail.
 
-    Found by the bench: a read of the store hung on a silent connection.
+    A read of the commands may hang on a connection that no longer answers.
     """
     harness = helpers.OwnerHarness(fakes.FakeWorkers())
     async with helpers.run_owner(harness) as owner:
@@ -282,7 +282,7 @@
 
 @paused_clock.test
 async def test_explanation_names_runs_and_what_is_awaited() -> None:
-    """Guards against an operator who cannot see why a job does not go on."""
+    """Guards against an explanation without the reason why a job does not proceed."""
     workers = fakes.FakeWorkers(1)
     workers.task_s = 60.0
     harness = helpers.OwnerHarness(workers)
@@ -301,7 +301,7 @@
 
 @paused_clock.test
 async def test_only_advised_workers_run_a_step() -> None:
-    """Guards against starts that are refused for want of a ticket."""
+    """Guards against starts on workers that refuse them without a ticket."""
     workers = fakes.FakeWorkers(4)
     harness = helpers.OwnerHarness(workers)
     harness.adviser.is_busy = True
@@ -319,7 +319,7 @@
 
 @paused_clock.test
 async def test_cancelled_job_stops_and_stays_cancelled() -> None:
-    """Guards against tasks of a cancelled job that run on or start again."""
+    """Guards against tasks of a cancelled job that go on or start again."""
     workers = fakes.FakeWorkers()
     workers.task_s = 60.0
     harness = helpers.OwnerHarness(workers)
@@ -338,7 +338,7 @@
 
 @paused_clock.test
 async def test_failures_count_once_over_a_change_of_owner() -> None:
-    """Guards against a job that fails early because an end is listed again."""
+    """Guards against a job that fails early because a failed end is listed again."""
     workers = fakes.FakeWorkers(1)
     worker = workers.workers["quotes-0"]
     worker.end_kind = model.EndKind.FAILED
@@ -349,7 +349,7 @@
         while not worker.ended:
             await asyncio.sleep(0.02)
         worker.end_kind = model.EndKind.DONE
-        workers.task_s = 3.0  # the second run is open when the owner is lost
+        workers.task_s = 3.0  # the second run is executing when the owner changes
         await asyncio.sleep(1.0)
     async with helpers.run_owner(harness):
         await harness.wait_state("a", model.JobState.DONE)
@@ -359,7 +359,7 @@
     "value", [b"", b"{", b"[]", b'{"epoch":1,"occurrences":{"0":{}}}', b'{"epoch":"x"}']
 )
 def test_progress_that_cannot_be_read_is_left_out(value: bytes) -> None:
-    """Guards against one bad entry that keeps a pool from loading."""
+    """Guards against one invalid entry that keeps a partition from loading."""
 
     async def scenario() -> None:
         harness = helpers.OwnerHarness(fakes.FakeWorkers())
@@ -375,10 +375,9 @@
 
 @paused_clock.test
 async def test_changes_of_owner_do_not_prolong_the_wait_for_a_worker() -> None:
-    """Guards against a wait that each next owner begins anew.
+    """Guards against a wait for previous leases that restarts with each owner.
 
-    Found by the bench: a lasting task of a dark rack was away for 20 s, since its pool
-    changed its owner every few seconds.
+    If the owner changes every few seconds, a lasting task would stay down for as long.
     """
     workers = fakes.FakeWorkers(3)
     harness = helpers.OwnerHarness(workers)
@@ -398,8 +397,8 @@
 async def test_lease_is_extended_only_where_the_next_owner_waits_for_it() -> None:
     """Guards against a lease on a worker that the store does not know to be in use.
 
-    A worker that comes back to an owner just before the next one takes over would go on
-    with what the first owner had started there.
+    A worker that responds again just before a change of owner would continue the runs
+    of the first owner, and the next owner would not wait for them.
     """
     workers = fakes.FakeWorkers(2)
     workers.task_s = 60.0
@@ -424,7 +423,7 @@
 
 @paused_clock.test
 async def test_unreadable_record_of_the_workers_in_use() -> None:
-    """Guards against a start beside a run that a former owner's record hid."""
+    """Guards against a second run when the previous owner's record is unreadable."""
     workers = fakes.FakeWorkers(2)
     workers.task_s = 60.0
     harness = helpers.OwnerHarness(workers)
@@ -445,9 +444,9 @@
 
 @paused_clock.test
 async def test_next_owner_extends_leases_before_its_first_record() -> None:
-    """Guards against runs that lapse while the store is away after a change of owner.
+    """Guards against leases that end while the store is unavailable after a takeover.
 
-    Found by the bench: leases of adopted runs waited for a record of the next owner.
+    Leases of adopted runs must not wait for the first record of the next owner.
     """
     workers = fakes.FakeWorkers(1)
     workers.task_s = 60.0
@@ -467,10 +466,10 @@
 @paused_clock.test
 @pytest.mark.parametrize("is_evacuated", [True, False])
 async def test_next_owner_does_not_wait_for_idle_workers(is_evacuated: bool) -> None:
-    """Guards against a wait for a host that was moved away, or that fell silent idle.
+    """Guards against waiting for the lease of a worker without runs.
 
-    Found by a hunt: a lasting task was away for 6 s, as its pool changed its owner
-    while hosts were moved.
+    Its host was moved, or it became unresponsive while idle. A lasting task would stay
+    down for a whole lease if the owner changes meanwhile.
     """
     workers = fakes.FakeWorkers(2)
     harness = helpers.OwnerHarness(workers)
@@ -514,10 +513,9 @@
 
 @paused_clock.test
 async def test_run_that_may_be_working_is_kept_while_others_are_down() -> None:
-    """Guards against a stop of a run that got to work since its last report.
+    """Guards against stopping a run that may have started working since its report.
 
-    Found by a hunt: an evacuation ended such a run while more of its step were away
-    than it may miss.
+    An evacuation would take down more tasks of the step than `may_miss` allows.
     """
     workers = fakes.FakeWorkers(3)
     harness = helpers.OwnerHarness(workers)
--- a/clementinespar/jobs/tests/test_service.py
+++ b/clementinespar/jobs/tests/test_service.py
@@ -21,7 +21,7 @@
 
 
 class ServiceHarness:
-    """A node's service on a store and a group that can go silent."""
+    """A node's service on a store and a group that can become unavailable."""
 
     def __init__(self) -> None:
         self.store = fakes.FakeStore()
@@ -29,7 +29,7 @@
         self.ownership_manager = ownership.OwnershipManager(
             self.group,
             lambda partition, epoch: pytest.fail("no partition is assigned"),
-            lambda epoch: pytest.fail("no host is held"),
+            lambda epoch: pytest.fail("the fleet partition is not assigned"),
             frozenset,
             1_000,
             fakes.ignore_event,
@@ -42,7 +42,7 @@
         )
 
     def set_unavailable(self, is_unavailable: bool) -> None:
-        """Let the store answer no call, or answer again."""
+        """Make the store answer no call, or answer again."""
         self.store.drops_calls = is_unavailable
         self.group.drops_calls = is_unavailable
 
@@ -57,7 +57,7 @@
 
 @contextlib.asynccontextmanager
 async def run_service() -> AsyncIterator[ServiceHarness]:
-    """Run a keeper and a service while the context is entered."""
+    """Run an ownership manager and a service inside the context."""
     harness = ServiceHarness()
     async with ownership.run_ownership_manager(harness.ownership_manager):
         await asyncio.sleep(1.0)
@@ -66,7 +66,7 @@
 
 @paused_clock.test
 async def test_in_flight_submission_is_given_up_early() -> None:
-    """Guards against callers that are held until their deadline by a silent store."""
+    """Guards against callers that wait until their deadline for the store."""
     async with run_service() as harness:
         harness.set_unavailable(True)
         code, took_s = await harness.submit("a")
@@ -78,7 +78,7 @@
 async def test_submission_is_refused_while_the_store_is_unavailable() -> None:
     """Guards against a refusal of a job that was sent to the store.
 
-    The caller may take it as true that a refused job never runs.
+    A caller may rely on a refused job never to run.
     """
     async with run_service() as harness:
         harness.set_unavailable(True)
@@ -93,7 +93,7 @@
 
 @paused_clock.test
 async def test_submission_is_accepted_once_the_store_is_back() -> None:
-    """Guards against a node that refuses callers after the end of an outage."""
+    """Guards against a node that still refuses jobs after the end of an outage."""
     async with run_service() as harness:
         harness.set_unavailable(True)
         await asyncio.sleep(3.0)
@@ -105,7 +105,7 @@
 
 @paused_clock.test
 async def test_lost_answers_do_not_make_a_store_unavailable() -> None:
-    """Guards against refusals while the store answers other calls."""
+    """Guards against refusing jobs while the store answers other calls."""
     async with run_service() as harness:
         harness.store.loses_answers = True
         submission = asyncio.create_task(harness.submit("a"))
--- a/clementinespar/jobs/tests/test_state.py
+++ b/clementinespar/jobs/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Tests of the durable form of jobs."""
+"""Tests of the state of jobs and its stored form."""
 
 import pytest
 from hypothesis import given, strategies
@@ -18,7 +18,7 @@
 
 @given(strategies.lists(STEPS, min_size=1, max_size=4), strategies.text(max_size=20))
 def test_spec_survives_the_store(steps: list[model.StepSpec], payload: str) -> None:
-    """Guards against a field that a node with empty memory does not get back."""
+    """Guards against a field of a job that the stored form does not keep."""
     spec = model.JobSpec("0" * 16, "q", "p", payload, tuple(steps), max_attempts=2)
     assert state.decode_spec(spec.job_id, state.encode_spec(spec)) == spec
 
@@ -32,7 +32,7 @@
 def test_progress_survives_the_store(
     done: set[int], failed: dict[int, set[int]]
 ) -> None:
-    """Guards against ends that are forgotten after they were acknowledged."""
+    """Guards against acknowledged ends that the stored form does not keep."""
     job = state.JobProgress(helpers.make_spec("a", task_count=7))
     job.first_epoch = 4
     step = job.occurrences[0].steps[0]
@@ -52,18 +52,18 @@
 
 @pytest.mark.parametrize(("epoch", "last_run", "wanted"), [(4, 0, 1), (4, 3, 4)])
 def test_runs_rise(epoch: int, last_run: int, wanted: int) -> None:
-    """Guards against a run that a worker refuses as old."""
+    """Guards against a run number that a worker refuses as stale."""
     job = state.JobProgress(helpers.make_spec("a"))
     job.first_epoch = 4
     task = job.occurrences[0].steps[0].tasks[0]
     task.last_run = last_run
     assert job.next_run(task, epoch) == wanted
-    # A next owner knows no run of this one, and all of its runs are higher.
+    # The next owner does not know the runs of this one, but all of its own are higher.
     assert job.next_run(task, epoch + 1) > wanted + 100
 
 
 def test_occurrences_open_when_due_and_finish_the_job() -> None:
-    """Guards against an occurrence that starts early or is left out."""
+    """Guards against an occurrence that opens early or is skipped."""
     spec = model.JobSpec(
         "a", "q", "p", "", (model.StepSpec(1),), 1_000, 500, occurrences=3
     )
--- a/clementinespar/jobs/worker_session.py
+++ b/clementinespar/jobs/worker_session.py
@@ -546,7 +546,7 @@
                 self.entry, run.key, run.number, percent, self.fence
             )
         except errors.ClementinesparError as error:
-            # -1 differs from every pace, so the next report repeats the order.
+            # The pace is unknown now; -1 differs from each that a report can lead to.
             run.pace = -1
             self._log_event(
                 "pace_unanswered",
