--- a/clementinespar/jobs/advice.py
+++ b/clementinespar/jobs/advice.py
@@ -8,7 +8,7 @@
 MAX_WORKERS_PER_REQUEST = 100
 VALIDITY_SHARE = 0.8  # of a ticket's time in which it is used; a start takes the rest
 RETRY_S = 0.25
-NO_WORKER_RETRY_S = 1.0  # until the next request after one that no worker passed
+NO_WORKER_RETRY_S = 1.0  # after a request for which no worker got a ticket
 
 
 class TicketCache:
@@ -43,20 +43,20 @@
         """Return valid tickets by worker id; if there are none, request them."""
         now = asyncio.get_running_loop().time()
         key = step.tasks[0].key
-        name = (key.job_id, key.occurrence, key.step)
+        step_key = (key.job_id, key.occurrence, key.step)
         valid_tickets = {
             worker_id: ticket
-            for worker_id, (ticket, until) in self._tickets.get(name, {}).items()
+            for worker_id, (ticket, until) in self._tickets.get(step_key, {}).items()
             if until > now and worker_id in worker_ids
         }
         if (
             not valid_tickets
-            and now >= self._next_request_at.get(name, 0.0)
+            and now >= self._next_request_at.get(step_key, 0.0)
             and worker_ids
         ):
-            self._next_request_at[name] = float("inf")
+            self._next_request_at[step_key] = float("inf")
             request = asyncio.create_task(
-                self._request(name, worker_ids[:MAX_WORKERS_PER_REQUEST])
+                self._request(step_key, worker_ids[:MAX_WORKERS_PER_REQUEST])
             )
             self._requests.add(request)
             request.add_done_callback(self._requests.discard)
@@ -64,42 +64,44 @@
 
     def drop(self, key: model.TaskKey, worker_id: str) -> None:
         """Drop a ticket that a worker has rejected."""
-        name = (key.job_id, key.occurrence, key.step)
-        self._tickets.get(name, {}).pop(worker_id, None)
+        step_key = (key.job_id, key.occurrence, key.step)
+        self._tickets.get(step_key, {}).pop(worker_id, None)
 
     def drop_job(self, job_id: str) -> None:
         """Drop all tickets of a job."""
         for cache in (self._tickets, self._next_request_at):
-            for name in [name for name in cache if name[0] == job_id]:
-                cache.pop(name, None)
+            for step_key in [step_key for step_key in cache if step_key[0] == job_id]:
+                cache.pop(step_key, None)
 
     def close(self) -> None:
         """Cancel pending requests."""
         for request in self._requests:
             request.cancel()
 
-    async def _request(self, name: tuple[str, int, int], worker_ids: list[str]) -> None:
+    async def _request(
+        self, step_key: tuple[str, int, int], worker_ids: list[str]
+    ) -> None:
         loop = asyncio.get_running_loop()
         try:
             async with self._lock:
-                issued = await self._adviser.request_tickets(*name, worker_ids)
+                issued = await self._adviser.request_tickets(*step_key, worker_ids)
         except errors.ClementinesparError as error:
-            self._log_event("advice_missing", job=name[0], code=int(error.code))
-            self._next_request_at[name] = loop.time() + RETRY_S
+            self._log_event("advice_missing", job=step_key[0], code=int(error.code))
+            self._next_request_at[step_key] = loop.time() + RETRY_S
         else:
             now = loop.time()
             until = now + VALIDITY_SHARE * issued.valid_s
-            self._tickets[name] = {
+            self._tickets[step_key] = {
                 worker_id: (ticket, until)
                 for worker_id, ticket in issued.tickets_by_worker.items()
             }
-            self._next_request_at[name] = now + (
+            self._next_request_at[step_key] = now + (
                 0.0 if issued.tickets_by_worker else NO_WORKER_RETRY_S
             )
             self._log_event(
                 "advice",
-                job=name[0],
-                step=name[2],
+                job=step_key[0],
+                step=step_key[2],
                 asked=len(worker_ids),
                 good=len(issued.tickets_by_worker),
             )
--- a/clementinespar/jobs/fleet.py
+++ b/clementinespar/jobs/fleet.py
@@ -29,7 +29,7 @@
 # the order out seconds after the worker was found to be free.
 EVACUATION_TTL_S = 6.0
 URGENT_AFTER_S = 3.0  # short runs are stopped when an evacuation takes this long
-# Of a pool's hosts, that may leave at once; doubled near the deadline of a wave.
+# Share of a pool's hosts that may leave at once; doubled near the deadline of a wave.
 MAX_LEAVING_SHARE = 0.25
 ARRIVAL_LIMIT_S = 6.0  # a moved host that is not up by then is not counted
 LOG_INTERVAL_S = 2.0
--- a/clementinespar/jobs/pool_owner.py
+++ b/clementinespar/jobs/pool_owner.py
@@ -289,7 +289,7 @@
     def _find_open_task(
         self, key: model.TaskKey
     ) -> tuple[state.JobProgress, state.TaskState] | None:
-        """Return a task and its job, or None if the job is final or has no such task."""
+        """Return a task and its job, or None if the job is final or has no such key."""
         job = self.jobs_by_id.get(key.job_id)
         task = None if job is None or job.is_final else job.find_task(key)
         return None if job is None or task is None else (job, task)
