--- a/clementinespar/jobs/ownership.py
+++ b/clementinespar/jobs/ownership.py
@@ -14,9 +14,7 @@
 from clementinespar.jobs import pool_owner, services
 
 PARTITION_COUNT = 24
-FLEET_PARTITION = (
-    PARTITION_COUNT - 1
-)  # no pool belongs to it; its owner gives orders to hosts
+FLEET_PARTITION = PARTITION_COUNT - 1  # orders to hosts; no pool belongs to it
 JOIN_INTERVAL_S = 0.4
 OWNERS_MAX_AGE_S = 2.0
 # A node owns nothing while at least this many larger nodes own partitions: the owner of
