--- a/clementinespar/jobs/peer_server.py
+++ b/clementinespar/jobs/peer_server.py
@@ -1,4 +1,4 @@
-"""Answers to the other nodes, and metrics, over HTTP on the internal port."""
+"""HTTP server on the internal port: queries of other nodes and metrics."""
 
 import contextlib
 import json
@@ -12,31 +12,31 @@
 from clementinespar.jobs import service, telemetry
 
 
-class _QuestionHandler(tornado.web.RequestHandler):
-    """Answers one question about a partition."""
+class _PeerRequestHandler(tornado.web.RequestHandler):
+    """Answers a query of a peer about a partition that this node owns."""
 
     def initialize(self, jobs: service.JobService) -> None:
         self._jobs = jobs
 
     def compute_etag(self) -> None:
-        """Send no entity tag; peers do not cache."""
+        """Send no entity tag, since peers do not cache."""
 
     def get(self, partition: str) -> None:
-        """Answer as the owner, or with 503."""
+        """Answer as the owner; with 503 if this node is not, 400 if it is malformed."""
         path = (self.request.uri or "")[len(partition) + 1 :]
         try:
-            told = self._jobs.answer_peer(int(partition), path)
+            reply = self._jobs.answer_peer(int(partition), path)
         except errors.ClementinesparError as error:
             self.set_status(503)
-            told = {"code": int(error.code), "message": error.message}
+            reply = {"code": int(error.code), "message": error.message}
         except (ValueError, KeyError) as error:
             self.set_status(400)
-            told = {"message": repr(error)}
-        self.finish(json.dumps(told))
+            reply = {"message": repr(error)}
+        self.finish(json.dumps(reply))
 
 
 class _JobHandler(tornado.web.RequestHandler):
-    """Explains a job to operators, whoever owns it."""
+    """Explains a job to operators, whichever node owns it."""
 
     def initialize(self, jobs: service.JobService) -> None:
         self._jobs = jobs
@@ -44,16 +44,16 @@
     async def get(self, job_id: str) -> None:
         """Answer with the explanation, or with the code of the failure."""
         try:
-            told = await self._jobs.explain(job_id)
+            reply = await self._jobs.explain(job_id)
         except errors.ClementinesparError as error:
             is_unknown = error.code is codes.ResultCode.JOB_UNKNOWN
             self.set_status(404 if is_unknown else 503)
-            told = {
+            reply = {
                 "code": int(error.code),
                 "name": error.code.name,
                 "message": error.message,
             }
-        self.finish(json.dumps(told))
+        self.finish(json.dumps(reply))
 
 
 class _MetricsHandler(tornado.web.RequestHandler):
@@ -63,7 +63,7 @@
         self._metrics = metrics
 
     def get(self) -> None:
-        """Write all metrics as text."""
+        """Answer with all metrics in the text format of Prometheus."""
         self.set_header("Content-Type", "text/plain; version=0.0.4")
         self.finish(self._metrics.render())
 
@@ -72,12 +72,12 @@
 async def serve_peers(
     address: str, port: int, jobs: service.JobService, metrics: telemetry.JobMetrics
 ) -> AsyncIterator[None]:
-    """Listen for peers while the context is entered."""
+    """Serve peers inside the context."""
     application = tornado.web.Application(
         [
             (r"/metrics", _MetricsHandler, {"metrics": metrics}),
             (r"/v1/jobs/([0-9A-Za-z]+)", _JobHandler, {"jobs": jobs}),
-            (r"/(\d+)/.*", _QuestionHandler, {"jobs": jobs}),
+            (r"/(\d+)/.*", _PeerRequestHandler, {"jobs": jobs}),
         ],
         log_function=lambda handler: None,
     )
--- a/clementinespar/jobs/pool_owner.py
+++ b/clementinespar/jobs/pool_owner.py
@@ -1,13 +1,13 @@
-"""The one node that decides for a pool of workers.
+"""The owner of a partition of worker pools: adopts jobs and places their tasks.
 
-Takeover: the first progress record carries the owner's epoch and fences every earlier
-owner out of the partition; then progress and commands are read, and each worker is
-called with the new fence. Jobs that an earlier owner had adopted wait until every
-worker that it may have used has answered, or its lease has certainly ended. Jobs that
-nobody adopted start at once.
+Takeover: the first progress record carries the owner's epoch, which fences every
+previous owner out of the partition. The owner then reads progress and commands and
+calls each worker with the new fence. Jobs that a previous owner had adopted wait until
+every worker that it may have used has answered, or until the lease on that worker has
+certainly ended. Jobs that no owner had adopted start at once.
 
-What must last is stored before it is shown or acknowledged: adoption before the first
-start, ends before their acknowledgement, a final state before a caller sees it.
+State is stored before it is shown or acknowledged: an adoption before the first start,
+ends of runs before their acknowledgement, a final state before a caller sees it.
 """
 
 import asyncio
@@ -34,23 +34,25 @@
 
 LEASE_SHARE = 0.9  # of the longest lease that workers grant
 FLUSH_INTERVAL_S = 0.6  # ends are acknowledged at least this often
-SCHEDULE_SPACING_S = 0.004  # collects events for one round of placement
-RETRY_DELAY_S = 0.08  # after a failed run, so that others go first
+SCHEDULE_SPACING_S = 0.004  # batches events into one round of placement
+FAILED_RETRY_DELAY_S = 0.08  # after a failed run, so that other tasks go first
 LOST_RETRY_DELAY_S = 0.02
 STORE_RETRY_S = 0.1
-# Long wait of a read for new commands. A connection may go silent for good, and a job
-# must be known within three seconds.
+# Longest wait of a read for new commands. A connection may stop answering for good, and
+# a job must be known within three seconds.
 COMMAND_WAIT_S = 1.0
-COMMAND_SPACING_S = 0.01  # collects commands, since each read is priced
-STALE_COMMANDS_S = 1.4  # an unknown job is reported only if commands are this fresh
-STATUS_RETENTION_MS = 150_000  # longer than callers may ask for a final state
-HOUSEKEEPING_S = 0.5
+COMMAND_SPACING_S = 0.01  # batches commands, since each read has a price
+# A job is reported as unknown only if the last read of commands is no older than this
+# plus `COMMAND_WAIT_S`.
+STALE_COMMANDS_S = 1.4
+STATUS_RETENTION_MS = 150_000  # longer than callers may query a final state
+HOUSEKEEPING_INTERVAL_S = 0.5
 UNKNOWN_STEP = model.StepSpec(1)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnerSettings:
-    """Figures that the owner of a pool needs.
+    """Settings of the owner of a partition.
 
     Attributes
     ----------
@@ -62,7 +64,7 @@
 
 
 class PoolOwner:
-    """Decisions for one partition of pools; made by `own_partition`."""
+    """Decides for one partition of pools; run by `own_partition`."""
 
     partition: int
     epoch: int
@@ -70,23 +72,23 @@
     is_lost: bool
     jobs_by_id: dict[str, state.JobProgress]
     sessions_by_id: dict[str, worker_session.WorkerSession]
-    evacuating: dict[str, float]  # worker id: event-loop time until which it is kept
-    commands_read_at: float  # event-loop time of the newest read
+    evacuating: dict[str, float]  # worker id: event-loop time at which it expires
+    commands_read_at: float  # event-loop time of the last read of commands
     metrics: telemetry.JobMetrics
     _lease_s: float
     _log: fenced_log.FencedLog
     _next_command: int  # offset
-    _use: worker_use.WorkerUse
+    _worker_use: worker_use.WorkerUse
     _placer: task_placer.TaskPlacer
-    _watch: run_watch.RunWatch
+    _run_watch: run_watch.RunWatch
     _cancelled_ids: set[str]
-    _finished_commands: list[str]  # ids of jobs whose command can be dropped
+    _finished_commands: list[str]  # ids of jobs whose commands can be deleted
     _unsubscribe: Callable[[], None]
-    _tickets: advice.TicketBook
+    _tickets: advice.TicketCache
     _run_times: demand.RunTimes
     _arrivals_by_pool: dict[str, demand.ArrivalRate]
-    _dirty: dict[str, state.JobProgress]  # memory is ahead of the store
-    _active: dict[str, state.JobProgress]  # not final
+    _dirty: dict[str, state.JobProgress]  # changed since the last append
+    _active: dict[str, state.JobProgress]  # not in a final state
 
     def __init__(
         self,
@@ -100,7 +102,7 @@
         workers: services.WorkerClient,
         adviser: services.Adviser,
         settings: OwnerSettings,
-        record: services.JobRecorder,
+        log_event: services.EventLog,
         metrics: telemetry.JobMetrics,
     ) -> None:
         self.partition = partition
@@ -119,11 +121,13 @@
         self._directory = directory
         self._workers = workers
         self._settings = settings
-        self._record = record
+        self._log_event = log_event
         self._lease_s = settings.lease_max_s * LEASE_SHARE
-        self._log = fenced_log.FencedLog(store, partition, epoch, STORE_RETRY_S, record)
+        self._log = fenced_log.FencedLog(
+            store, partition, epoch, STORE_RETRY_S, log_event
+        )
         self._next_command = 0
-        self._use = worker_use.WorkerUse()
+        self._worker_use = worker_use.WorkerUse()
         self._cancelled_ids = set()
         self._finished_commands = []
         self._unsubscribe = _do_nothing
@@ -131,43 +135,43 @@
         self._active = {}
         self._flush_wanted = asyncio.Event()
         self._schedule_wanted = asyncio.Event()
-        self._tickets = advice.TicketBook(adviser, record, self._schedule_wanted)
+        self._tickets = advice.TicketCache(adviser, log_event, self._schedule_wanted)
         self._placer = task_placer.TaskPlacer(
-            epoch, self.sessions_by_id, self._tickets, record, metrics
+            epoch, self.sessions_by_id, self._tickets, log_event, metrics
         )
-        self._watch = run_watch.RunWatch(
+        self._run_watch = run_watch.RunWatch(
             self.jobs_by_id, self.sessions_by_id, self._placer
         )
         self._run_times = demand.RunTimes()
         self._arrivals_by_pool = {}
 
-    # What sessions tell.
+    # Events of worker sessions; see `worker_session.RunEvents`.
 
     def confirmed_at(self) -> float | None:
-        """Return when the newest confirmation of ownership was asked for."""
+        """Return when the last call that confirmed ownership was sent."""
         return None if self.is_lost else self._confirmed_at()
 
     def on_contact(self, session: worker_session.WorkerSession) -> None:
-        """Look for room after each report."""
+        """Record that the worker has answered and request a round of placement."""
         worker_id = session.entry.worker_id
-        self._use.answered.add(worker_id)
-        if worker_id not in self._use.in_use and not session.is_released():
-            self._use.in_use.add(worker_id)
+        self._worker_use.answered.add(worker_id)
+        if worker_id not in self._worker_use.in_use and not session.is_released():
+            self._worker_use.in_use.add(worker_id)
             if not self.may_lease(worker_id):
                 self._flush_wanted.set()
-        self._watch.check(session)
+        self._run_watch.check(session)
         self._schedule_wanted.set()
 
     def may_lease(self, worker_id: str) -> bool:
-        """Whether the next owner would learn from the store of a lease there."""
-        return worker_id in self._use.stored
+        """Whether the stored record tells the next owner of a lease on the worker."""
+        return worker_id in self._worker_use.stored
 
-    def on_silent(self, session: worker_session.WorkerSession) -> None:
-        """Let copies of speculative tasks start beside runs on a silent worker."""
+    def on_unresponsive(self, session: worker_session.WorkerSession) -> None:
+        """Queue copies of the speculative tasks that run on an unresponsive worker."""
         for run in session.runs.values():
             if not run.spec.is_speculative:
                 continue
-            found = self._find_open(run.key)
+            found = self._find_open_task(run.key)
             if found is None:
                 continue
             job, task = found
@@ -178,15 +182,15 @@
     def on_ticket_rejected(
         self, session: worker_session.WorkerSession, run: worker_session.Run
     ) -> None:
-        """Ask the adviser again before the next start there."""
-        self._tickets.forget(run.key, session.entry.worker_id)
+        """Drop the ticket, so that the adviser is asked for a new one."""
+        self._tickets.drop(run.key, session.entry.worker_id)
 
     def on_fenced(self) -> None:
-        """Give the partition up: a later owner has reached a worker."""
-        self.lose("a worker has seen a later owner")
+        """Stop acting as the owner: a later owner has called a worker."""
+        self.mark_lost("a worker has seen a later owner")
 
     def orphan_spec(self, key: model.TaskKey) -> model.StepSpec:
-        """Return the size of a run that must be stopped."""
+        """Return the spec of a run that this owner does not want and has to stop."""
         job = self.jobs_by_id.get(key.job_id)
         if job is not None and 0 <= key.step < len(job.spec.steps):
             return job.spec.steps[key.step]
@@ -198,12 +202,12 @@
         end: model.EndedTask,
         run: worker_session.Run | None,
     ) -> None:
-        """Apply an end once, whoever started the run."""
+        """Apply the end of a run once, whichever owner started it."""
         self.metrics.count_end(end.kind.value)
         self._schedule_wanted.set()
-        found = self._find_open(end.task)
+        found = self._find_open_task(end.task)
         if found is None:
-            return  # acknowledged with the next flush
+            return  # nothing to store; the next flush acknowledges it
         job, task = found
         step = job.find_step(end.task)
         task.open_runs.discard(end.run)
@@ -212,19 +216,19 @@
             task.saved = end.saved
         is_failure = end.kind is model.EndKind.FAILED
         if end.kind is model.EndKind.DONE:
-            session.note_outcome(job.spec.job_id, False)
+            session.record_outcome(job.spec.job_id, False)
             if run is not None:
                 now = asyncio.get_running_loop().time()
-                self._run_times.note(step.spec, (now - run.started_at) * 1000)
+                self._run_times.add(step.spec, (now - run.started_at) * 1000)
             if step.spec.is_gang:
                 self._finish_gang(job, step, end.run)
             else:
                 state.mark_done(step, task)
                 self._stop_copies(task)
         elif is_failure:
-            self._note_failure(session, job, step, task, end)
+            self._record_failure(session, job, step, task, end)
         if end.kind is not model.EndKind.DONE:
-            self._record(
+            self._log_event(
                 "end",
                 job=job.spec.job_id,
                 task=end.task.name_in_job,
@@ -232,21 +236,21 @@
                 worker=session.entry.worker_id,
                 kind=end.kind.value,
             )
-            delay = RETRY_DELAY_S if is_failure else LOST_RETRY_DELAY_S
+            delay = FAILED_RETRY_DELAY_S if is_failure else LOST_RETRY_DELAY_S
             self._requeue(step, task, 0.0 if step.spec.is_lasting else delay)
         self._mark_dirty(job)
         if not job.is_final:
             self._finish_occurrences(job)
 
-    def on_gone(
+    def on_run_gone(
         self,
         session: worker_session.WorkerSession,
         run: worker_session.Run,
         reason: str,
     ) -> None:
-        """Place a task again whose run certainly does not execute."""
+        """Requeue the task of a run that certainly does not execute."""
         self._schedule_wanted.set()
-        self._record(
+        self._log_event(
             "run_gone",
             job=run.key.job_id,
             task=run.key.name_in_job,
@@ -254,7 +258,7 @@
             worker=session.entry.worker_id,
             reason=reason,
         )
-        found = self._find_open(run.key)
+        found = self._find_open_task(run.key)
         if found is None:
             return
         job, task = found
@@ -264,8 +268,8 @@
     def on_unknown_run(
         self, session: worker_session.WorkerSession, listed: model.RunningTask
     ) -> worker_session.Run | None:
-        """Adopt a run of a former owner if its task still needs it."""
-        found = self._find_open(listed.task)
+        """Adopt a run of a previous owner if its task still needs it."""
+        found = self._find_open_task(listed.task)
         if found is None:
             return None
         job, task = found
@@ -282,15 +286,15 @@
         job.mark_started()
         return run
 
-    def _find_open(
+    def _find_open_task(
         self, key: model.TaskKey
     ) -> tuple[state.JobProgress, state.TaskState] | None:
-        """Return a task and its job, or None if the job is final or lacks the task."""
+        """Return a task and its job, or None if the job is final or has no such key."""
         job = self.jobs_by_id.get(key.job_id)
         task = None if job is None or job.is_final else job.find_task(key)
         return None if job is None or task is None else (job, task)
 
-    # What callers ask.
+    # Queries.
 
     def describe(self, job_id: str) -> model.JobState | None:
         """Return a job's state, or None if no job has this id.
@@ -298,7 +302,7 @@
         Raises
         ------
         errors.ClementinesparError
-            This node cannot tell, since its view of the commands is old.
+            The commands were not read recently enough to report a job as unknown.
         """
         job = self.jobs_by_id.get(job_id)
         if job is not None:
@@ -310,7 +314,8 @@
             COMMAND_WAIT_S + STALE_COMMANDS_S
         ):
             raise errors.ClementinesparError(
-                codes.ResultCode.JOB_OWNER_UNKNOWN, "the commands are not read yet"
+                codes.ResultCode.JOB_OWNER_UNKNOWN,
+                "the owner has not read the newest commands yet",
             )
         return None
 
@@ -323,9 +328,9 @@
         because = []
         waits_for = None
         if not job.is_adopted:
-            waits_for = "the store, for the record of its adoption"
-        elif job.adopted_epoch != self.epoch and not self._use.is_settled():
-            waits_for = "workers of the former owner that do not answer"
+            waits_for = "the store to append the record of its adoption"
+        elif job.adopted_epoch != self.epoch and not self._worker_use.is_settled():
+            waits_for = "unresponsive workers of the previous owner"
         if not job.is_final and not job.is_lasting:
             slack_s = job.deadline - now
             because.append(f"its objective ends in {slack_s:.1f} s")
@@ -352,7 +357,10 @@
         )
 
     def count_waiting(self, queue: str) -> int:
-        """Return the number of accepted jobs of a queue with no started task."""
+        """Return the number of accepted jobs of a queue of which no task has started.
+
+        Jobs with occurrences are not counted.
+        """
         return sum(
             1
             for job in self._active.values()
@@ -362,7 +370,7 @@
         )
 
     def describe_load(self, pool: str) -> dict[str, object]:
-        """Return the waiting work and the use of each worker of a pool."""
+        """Return the waiting work of a pool and the use of each of its workers."""
         now = asyncio.get_running_loop().time()
         sessions = [
             session
@@ -406,9 +414,9 @@
     def evacuate(
         self, worker_id: str, kept_s: float, urgency: model.EvacuationUrgency
     ) -> bool:
-        """Keep new work from a worker; True once its host may be taken away.
+        """Give a worker no new work for `kept_s`; True once its host may be taken away.
 
-        Lasting tasks are moved as far as their steps allow.
+        Lasting tasks are moved to other workers as far as `StepSpec.may_miss` allows.
         """
         loop = asyncio.get_running_loop()
         session = self.sessions_by_id.get(worker_id)
@@ -417,46 +425,46 @@
             return False
         self.evacuating[worker_id] = loop.time() + kept_s
         if session is None:
-            # After a change of owner the worker may be in use though it is not known
-            # here yet.
+            # After a change of owner, a worker without a session may still execute
+            # runs of the previous owner.
             return (
                 self._directory.is_loaded
                 and worker_id not in self._directory.by_id
-                and self._use.is_settled()
+                and self._worker_use.is_settled()
             )
         if not session.is_evacuating:
             session.is_evacuating = True
-            self._record("evacuate", worker=worker_id, runs=len(session.runs))
+            self._log_event("evacuate", worker=worker_id, runs=len(session.runs))
         for run in list(session.runs.values()):
             if run.spec.is_lasting:
-                self._watch.move_lasting(run, "its host is to be taken away")
+                self._run_watch.move_lasting(run, "its host is to be taken away")
             elif (
                 urgency is model.EvacuationUrgency.STOP
                 and run.status is worker_session.RunStatus.RUNNING
             ):
                 session.stop(run, "its host is to be taken away")
-        is_known = session.is_touched or loop.time() > session.lease_bound
+        is_known = session.has_answered or loop.time() > session.lease_bound
         if session.runs or not is_known:
             return False
         self._release_idle_workers()
         return True
 
-    # Loops.
+    # Background tasks.
 
     async def load(self) -> None:
-        """Fence earlier owners, then read progress and commands."""
+        """Fence previous owners, then read progress and commands."""
         loop = asyncio.get_running_loop()
         await self._append([services.KeyedRecord("owner", b"%d" % self.epoch)])
         fenced_at = loop.time()
-        progress = await self._retry(
+        progress = await self._retry_read(
             lambda: self._store.list_newest(services.Topic.PROGRESS, self.partition)
         )
-        commands = await self._retry(
+        commands = await self._retry_read(
             lambda: self._store.list_newest(services.Topic.COMMANDS, self.partition)
         )
         values = {record.key: record.value for record in progress.records}
         if "workers" in values:
-            self._restore_usage(values["workers"], fenced_at)
+            self._restore_worker_use(values["workers"], fenced_at)
         specs: dict[str, bytes] = {}
         for record in commands.records:
             if record.key.startswith("j"):
@@ -474,7 +482,7 @@
                 job = state.JobProgress(spec)
                 state.restore_progress(job, value)
             except (ValueError, KeyError, TypeError, IndexError) as error:
-                telemetry.record_invalid_entry(self._record, key, error)
+                telemetry.log_invalid_entry(self._log_event, key, error)
                 continue
             self._set_deadline(job)
             self.jobs_by_id[job_id] = job
@@ -487,17 +495,17 @@
         self.is_loaded = True
         self._unsubscribe = self._directory.subscribe(self._refresh_sessions)
         self._refresh_sessions()
-        self._record(
+        self._log_event(
             "pool_loaded",
             partition=self.partition,
             epoch=self.epoch,
             jobs=len(self.jobs_by_id),
             open_jobs=len(self._active),
-            former_workers=self._use.former_count,
+            former_workers=self._worker_use.previous_worker_count,
         )
 
     async def follow_commands(self) -> None:
-        """Apply what callers ask, as it is stored."""
+        """Apply commands of callers as they arrive in the store."""
         loop = asyncio.get_running_loop()
         while True:
             try:
@@ -511,8 +519,8 @@
                 if error.code is not codes.ResultCode.STORE_HISTORY_GONE:
                     await asyncio.sleep(STORE_RETRY_S)
                     continue
-                self._record("commands_listed_anew", partition=self.partition)
-                page = await self._retry(
+                self._log_event("commands_listed_anew", partition=self.partition)
+                page = await self._retry_read(
                     lambda: self._store.list_newest(
                         services.Topic.COMMANDS, self.partition
                     )
@@ -523,7 +531,7 @@
             await asyncio.sleep(COMMAND_SPACING_S)
 
     async def write_progress(self) -> None:
-        """Store what changed, one append at a time; acknowledge what is stored."""
+        """Store changed jobs, one append at a time, then acknowledge their ends."""
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(FLUSH_INTERVAL_S):
@@ -546,19 +554,19 @@
                 services.KeyedRecord("p" + job.spec.job_id, state.encode_progress(job))
             )
         # A worker may have got a run after it was released.
-        self._use.in_use.update(
+        self._worker_use.in_use.update(
             worker_id
             for worker_id, session in self.sessions_by_id.items()
-            if session.runs and session.is_touched
+            if session.runs and session.has_answered
         )
-        is_use_due = self._use.is_due()
+        is_use_due = self._worker_use.is_due()
         if is_use_due:
-            records.append(services.KeyedRecord("workers", self._use.encode()))
+            records.append(services.KeyedRecord("workers", self._worker_use.encode()))
         finals = [job for job in dirty if job.is_final]
         if records:
             await self._append(records)
         if is_use_due:
-            self._use.note_stored()
+            self._worker_use.mark_stored()
             self._schedule_wanted.set()
         for session, number, born_ms in processed:
             if session.born_ms == born_ms:
@@ -575,28 +583,28 @@
         if has_adopted:
             self._schedule_wanted.set()
 
-    def _restore_usage(self, value: bytes, fenced_at: float) -> None:
-        """Wait for the leases of the former owner and of those before it."""
+    def _restore_worker_use(self, value: bytes, fenced_at: float) -> None:
+        """Restore which workers the previous owners may still have leases on."""
         lease_s = self._settings.lease_max_s + worker_session.LEASE_MARGIN_S
         try:
-            self._use.restore(value, fenced_at, lease_s)
+            self._worker_use.restore(value, fenced_at, lease_s)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            telemetry.record_invalid_entry(self._record, "workers", error)
-            self._use.wait_for_all(fenced_at, lease_s)
+            telemetry.log_invalid_entry(self._log_event, "workers", error)
+            self._worker_use.wait_for_all(fenced_at, lease_s)
 
     async def schedule(self) -> None:
-        """Place tasks whenever something has changed."""
+        """Run a round of placement after each change that may allow a start."""
         while True:
             await self._schedule_wanted.wait()
             await asyncio.sleep(SCHEDULE_SPACING_S)
             self._schedule_wanted.clear()
             self._place_tasks()
 
-    async def keep_house(self) -> None:
-        """Follow the directory, open occurrences, drop what nobody may ask for."""
+    async def run_housekeeping(self) -> None:
+        """Refresh sessions, open due occurrences and delete expired state."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(HOUSEKEEPING_S)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             self._refresh_sessions()
             self._release_idle_workers()
             now_ms = time.time() * 1000
@@ -623,7 +631,7 @@
                     [services.KeyedRecord("j" + job_id, b"") for job_id in keys],
                 )
             except errors.ClementinesparError:
-                self._finished_commands.extend(keys)  # dropped with the next ones
+                self._finished_commands.extend(keys)  # deleted with the next ones
         expired = [
             job_id
             for job_id, job in self.jobs_by_id.items()
@@ -654,7 +662,7 @@
         try:
             job = state.JobProgress(state.decode_spec(job_id, value))
         except (ValueError, KeyError, TypeError) as error:
-            telemetry.record_invalid_entry(self._record, "j" + job_id, error)
+            telemetry.log_invalid_entry(self._log_event, "j" + job_id, error)
             return
         self._set_deadline(job)
         self.jobs_by_id[job_id] = job
@@ -663,13 +671,13 @@
             rate = self._arrivals_by_pool.setdefault(
                 job.spec.pool, demand.ArrivalRate()
             )
-            rate.note(
+            rate.add(
                 job.remaining_work(self._run_times.estimate_ms),
                 asyncio.get_running_loop().time(),
             )
         if job.spec.occurrences:
             job.open_due_occurrences(time.time() * 1000)
-        self._record(
+        self._log_event(
             "job_adopted",
             job=job_id,
             queue=job.spec.queue,
@@ -677,7 +685,9 @@
             age_ms=int(time.time() * 1000) - job.spec.accepted_ms,
         )
         if job_id in self._cancelled_ids:
-            self._finish_job(job, model.JobState.CANCELLED, "cancelled before it came")
+            self._finish_job(
+                job, model.JobState.CANCELLED, "cancelled before it was submitted"
+            )
         self._mark_dirty(job)
         self._flush_wanted.set()
 
@@ -696,9 +706,9 @@
         ) / 1000
         job.deadline = loop.time() - age_s + objective_s
 
-    # Ends.
+    # Ends of runs.
 
-    def _note_failure(
+    def _record_failure(
         self,
         session: worker_session.WorkerSession,
         job: state.JobProgress,
@@ -710,20 +720,22 @@
             return
         task.failed_runs.add(end.run)
         task.failed_on.add(session.entry.worker_id)
-        if session.note_outcome(job.spec.job_id, True):
-            self._record(
+        if session.record_outcome(job.spec.job_id, True):
+            self._log_event(
                 "worker_ejected", worker=session.entry.worker_id, reason="failures"
             )
         attempts = len(task.failed_runs)
         if step.spec.is_gang:
             attempts = len(set().union(*(t.failed_runs for t in step.tasks)))
         if not step.spec.is_lasting and attempts >= job.spec.max_attempts:
-            self._finish_job(job, model.JobState.FAILED, "a task failed too often")
+            self._finish_job(
+                job, model.JobState.FAILED, "a task reached its limit of attempts"
+            )
 
     def _finish_gang(
         self, job: state.JobProgress, step: state.StepState, run: int
     ) -> None:
-        """One done end stands for all members of the run."""
+        """Mark all members as done after one member of the run has ended as done."""
         for member in step.tasks:
             state.mark_done(step, member)
             self._stop_copies(member, keep_run=run)
@@ -745,7 +757,7 @@
         for session in self.sessions_by_id.values():
             for run in list(session.runs.values()):
                 if run.key == task.key and run.number != keep_run:
-                    session.stop(run, "another copy is done")
+                    session.stop(run, "another copy of the task is done")
 
     def _finish_occurrences(self, job: state.JobProgress) -> None:
         for number, occurrence in list(job.occurrences.items()):
@@ -762,7 +774,7 @@
         job.state = final
         job.final_ms = int(time.time() * 1000)
         self._active.pop(job.spec.job_id, None)
-        self._record(
+        self._log_event(
             "job_final",
             job=job.spec.job_id,
             state=final.value,
@@ -790,11 +802,12 @@
             return
         loop = asyncio.get_running_loop()
         now = loop.time()
-        is_settled = self._use.is_settled()
+        is_settled = self._worker_use.is_settled()
         usable = [
             session
             for session in self.sessions_by_id.values()
-            if session.can_take(now) and session.entry.worker_id in self._use.stored
+            if session.can_take(now)
+            and session.entry.worker_id in self._worker_use.stored
         ]
         if not usable:
             return
@@ -807,13 +820,13 @@
         ]
         estimate_ms = self._run_times.estimate_ms
         waiting.sort(key=lambda job: placement.rank(job, now, estimate_ms))
-        room_by_pool: dict[str, placement.Room] = {}
+        free_capacity_by_pool: dict[str, placement.FreeCapacity] = {}
         for pool in {job.spec.pool for job in waiting}:
-            room_by_pool[pool] = placement.Room(
+            free_capacity_by_pool[pool] = placement.FreeCapacity(
                 [session for session in usable if session.entry.pool == pool]
             )
         for job in waiting:
-            self._placer.place(job, room_by_pool[job.spec.pool], now)
+            self._placer.place(job, free_capacity_by_pool[job.spec.pool], now)
 
     # Workers.
 
@@ -831,10 +844,10 @@
                     entry,
                     self.epoch,
                     self._lease_s,
-                    self._use.former_end(entry.worker_id),
+                    self._worker_use.previous_lease_end(entry.worker_id),
                     self._workers,
                     self,
-                    self._record,
+                    self._log_event,
                 )
                 session.is_evacuating = entry.worker_id in self.evacuating
                 self.sessions_by_id[entry.worker_id] = session
@@ -848,62 +861,71 @@
                 continue
             session.is_listed = False
             is_expired = now > session.lease_bound + worker_session.LEASE_MARGIN_S
-            is_silent = now - session.last_contact > worker_session.SILENT_AFTER_S
-            if is_expired and is_silent and not session.runs:
+            is_unresponsive = (
+                now - session.last_contact > worker_session.UNRESPONSIVE_AFTER_S
+            )
+            if is_expired and is_unresponsive and not session.runs:
                 session.close()
                 del self.sessions_by_id[worker_id]
-                self._use.in_use.discard(worker_id)
+                self._worker_use.in_use.discard(worker_id)
 
     def _release_idle_workers(self) -> None:
-        """Spare a next owner the wait for workers that may vanish without any run."""
+        """Remove idle workers from the record that the next owner waits for.
+
+        Their hosts may be taken away, and the next owner would wait for their leases to
+        end although nothing runs there.
+        """
         released = {
             worker_id
             for worker_id, session in self.sessions_by_id.items()
             if session.is_released()
         }
-        if released & self._use.in_use:
-            self._use.in_use -= released
+        if released & self._worker_use.in_use:
+            self._worker_use.in_use -= released
             self._flush_wanted.set()
 
-    # The store.
+    # Store.
 
     async def _append(self, records: list[services.KeyedRecord]) -> None:
-        """Append as the owner until it is stored; give up when fenced out."""
+        """Append progress as the owner; never returns once the owner is fenced out."""
         try:
             await self._log.append(records)
         except errors.ClementinesparError:
-            self.lose("the store has seen a later owner")
-            await asyncio.Event().wait()  # cancelled with the partition
+            self.mark_lost("the store has seen a later owner")
+            await asyncio.Event().wait()  # until the tasks of this owner are cancelled
 
-    async def _retry(
+    async def _retry_read(
         self, call: Callable[[], Awaitable[services.RecordPage]]
     ) -> services.RecordPage:
         while True:
             try:
                 return await call()
             except errors.ClementinesparError as error:
-                self._record("read_retried", code=int(error.code))
+                self._log_event("read_retried", code=int(error.code))
             await asyncio.sleep(STORE_RETRY_S)
 
-    def lose(self, reason: str) -> None:
-        """Stop acting as the owner."""
+    def mark_lost(self, reason: str) -> None:
+        """Record that the partition is lost and stop acting as its owner."""
         if self.is_lost:
             return
         self.is_lost = True
-        self._record("pool_lost", partition=self.partition, reason=reason)
+        self._log_event("pool_lost", partition=self.partition, reason=reason)
         self._on_lost(self)
 
     async def run(self) -> None:
-        """Load, then decide until cancelled."""
+        """Load the partition, then run the background tasks until cancelled."""
         await self.load()
         async with asyncio.TaskGroup() as group:
             group.create_task(self.follow_commands())
             group.create_task(self.write_progress())
             group.create_task(self.schedule())
-            group.create_task(self.keep_house())
+            group.create_task(self.run_housekeeping())
 
     def close(self) -> None:
-        """End all sessions; runs go on until their leases end or a next owner."""
+        """Close all sessions.
+
+        Runs go on until the next owner decides about them or their leases end.
+        """
         self.is_lost = True
         self._unsubscribe()
         self._tickets.close()
@@ -912,12 +934,12 @@
 
 
 def _do_nothing() -> None:
-    """Take the place of an unsubscription before there is one."""
+    """Stand in for `PoolOwner._unsubscribe` until the owner has subscribed."""
 
 
 @contextlib.asynccontextmanager
 async def own_partition(owner: PoolOwner) -> AsyncIterator[None]:
-    """Run an owner while the context is entered."""
+    """Run an owner inside the context and close it at the end."""
     async with background.running(owner.run()):
         try:
             yield
--- a/clementinespar/jobs/run_watch.py
+++ b/clementinespar/jobs/run_watch.py
@@ -1,15 +1,15 @@
-"""Watches runs: those without progress, and lasting ones that have to move."""
+"""Checks of runs: stops stuck ones and moves lasting ones away from workers."""
 
 import asyncio
 
 from clementinespar.jobs import placement, state, task_placer, worker_session
 
 STUCK_AFTER_S = 1.4  # a run without progress for this long is started elsewhere
-STUCK_LASTING_S = 4.0  # a lasting task needs some time until it is at work
+STUCK_LASTING_S = 4.0  # a lasting task takes some time until it is working
 
 
 class RunWatch:
-    """Runs of one pool that need attention."""
+    """Checks the runs of one partition after each report of a worker."""
 
     _jobs_by_id: dict[str, state.JobProgress]
     _sessions_by_id: dict[str, worker_session.WorkerSession]
@@ -26,7 +26,7 @@
         self._placer = placer
 
     def check(self, session: worker_session.WorkerSession) -> None:
-        """Stop runs without progress, move lasting ones, and pace what fills."""
+        """Stop stuck runs, move lasting ones off a draining worker, pace fillers."""
         now = asyncio.get_running_loop().time()
         for run in list(session.runs.values()):
             if run.status is not worker_session.RunStatus.RUNNING:
@@ -41,7 +41,11 @@
         placement.pace_fillers(session, now)
 
     def move_lasting(self, run: worker_session.Run, reason: str) -> None:
-        """Stop a lasting task so that it starts elsewhere, if its step may miss it."""
+        """Stop a lasting run, so that its task starts on another worker.
+
+        Does nothing if `StepSpec.may_miss` tasks of the step are down already, unless
+        the worker is draining, or if no other worker has enough free capacity.
+        """
         if run.status is not worker_session.RunStatus.RUNNING:
             return
         job = self._jobs_by_id.get(run.key.job_id)
@@ -51,7 +55,7 @@
         step = job.find_step(run.key)
         may_miss = step.spec.may_miss
         if may_miss is not None and not run.session.entry.is_draining:
-            at_work = 0
+            working = 0
             for session in self._sessions_by_id.values():
                 for other in session.runs.values():
                     key = other.key
@@ -60,15 +64,16 @@
                         and key.step == run.key.step
                         and other.status is worker_session.RunStatus.RUNNING
                         and other.percent >= 100
-                        and now - session.last_contact < worker_session.SILENT_AFTER_S
+                        and now - session.last_contact
+                        < worker_session.UNRESPONSIVE_AFTER_S
                     ):
-                        at_work += 1
-            # The run itself may have got to work since the last report.
-            away = len(step.tasks) - at_work - (run.percent < 100)
-            if away >= max(1, may_miss):
+                        working += 1
+            # The run itself may have started working since the last report.
+            down = len(step.tasks) - working - (run.percent < 100)
+            if down >= max(1, may_miss):
                 return
         counts = self._placer.count_per_worker(job, step)
-        room = placement.Room(
+        free_capacity = placement.FreeCapacity(
             [
                 session
                 for session in self._sessions_by_id.values()
@@ -77,6 +82,6 @@
                 and session.entry.pool == job.spec.pool
             ]
         )
-        if room.choose(step.spec, counts, set()) is None:
-            return  # nowhere to go: it keeps working where it is
+        if free_capacity.choose(step.spec, counts, set()) is None:
+            return  # no other worker can take it, so it goes on here
         run.session.stop(run, reason)
--- a/clementinespar/jobs/tests/test_capacity.py
+++ b/clementinespar/jobs/tests/test_capacity.py
@@ -6,7 +6,7 @@
 
 
 def make_view(name: str, hosts: int = 8, **fields: object) -> capacity.PoolView:
-    """Return a pool of hosts with 16 cores, all idle unless told otherwise."""
+    """Return a pool of hosts with 16 cores; they are idle unless `fields` differ."""
     values: dict[str, object] = {"movable": [f"{name}-{n}" for n in range(hosts)]}
     return capacity.PoolView(name, False, 16.0, hosts, **(values | fields))  # type: ignore[arg-type]
 
@@ -17,23 +17,23 @@
     return capacity.PoolView("spare", True, 16.0, hosts, movable=movable)
 
 
-def test_pool_keeps_its_home_size_before_its_turn() -> None:
-    """Guards against an idle pool that has no hosts when its peak begins."""
+def test_pool_keeps_its_home_size_before_its_peak() -> None:
+    """Guards against a pool that has lost its hosts when its peak begins."""
     assert not capacity.plan_moves([make_view("a"), make_spare(4)], {}, 0.0)
 
 
 def test_peak_takes_spare_hosts() -> None:
-    """Guards against spare hosts that idle while work waits."""
+    """Guards against spare hosts that stay idle while work waits."""
     view = make_view(
         "a", used_cores=128.0, waiting_cores=60.0, arriving_cores=180.0, movable=[]
     )
     moves = capacity.plan_moves([view, make_spare(8)], {}, 0.0)
     assert {move.destination for move in moves} == {"a"}
-    assert len(moves) == 5  # as much as waits, not as much as arrives
+    assert len(moves) == 5  # for the work that waits, not for all that arrives
 
 
 def test_peak_is_bounded() -> None:
-    """Guards against all hosts in one pool after one large job."""
+    """Guards against moving all hosts to one pool because of one large job."""
     view = make_view(
         "a", used_cores=128.0, waiting_cores=900.0, arriving_cores=900.0, movable=[]
     )
@@ -42,37 +42,37 @@
 
 
 def test_late_work_brings_no_hosts() -> None:
-    """Guards against hosts that come for work which is late before they arrive."""
+    """Guards against moves for work that is late before the hosts arrive."""
     view = make_view("a", used_cores=128.0, arriving_cores=300.0, movable=[])
     assert not capacity.plan_moves([view, make_spare(8)], {}, 0.0)
 
 
-def run_turn(turns: dict[str, capacity.TurnState], name: str, start: float) -> None:
-    """Let a pool have its peak and its end."""
-    capacity.plan_moves([make_view(name, used_cores=100.0, movable=[])], turns, start)
+def run_peak(peaks: dict[str, capacity.PeakState], name: str, start: float) -> None:
+    """Plan moves through the peak of a pool and its end."""
+    capacity.plan_moves([make_view(name, used_cores=100.0, movable=[])], peaks, start)
     for second in (1.0, 3.0):
-        capacity.plan_moves([make_view(name, movable=[])], turns, start + second)
+        capacity.plan_moves([make_view(name, movable=[])], peaks, start + second)
 
 
-def test_idle_hosts_rest_after_the_turn() -> None:
-    """Guards against hosts that are paid for while nothing runs there."""
-    turns = {"a": capacity.TurnState(8), "b": capacity.TurnState(8)}
-    run_turn(turns, "a", 10.0)
+def test_idle_hosts_move_to_the_spare_pool_after_the_peak() -> None:
+    """Guards against idle hosts that stay in a pool and cost money after its peak."""
+    peaks = {"a": capacity.PeakState(8), "b": capacity.PeakState(8)}
+    run_peak(peaks, "a", 10.0)
     moves = capacity.plan_moves(
-        [make_view("a"), make_view("b"), make_spare(0)], turns, 20.0
+        [make_view("a"), make_view("b"), make_spare(0)], peaks, 20.0
     )
     assert {(move.source, move.destination) for move in moves} == {("a", "spare")}
     assert len(moves) == 7
 
 
-def test_first_pool_gets_its_home_size_back_when_all_had_their_turn() -> None:
-    """Guards against a second cycle that meets pools without hosts."""
-    turns = {"a": capacity.TurnState(8), "b": capacity.TurnState(8)}
-    run_turn(turns, "a", 10.0)
-    run_turn(turns, "b", 20.0)
-    capacity.update_resting(turns)
-    assert not turns["a"].is_resting
-    assert turns["b"].is_resting
+def test_first_pool_gets_its_home_size_back_when_all_had_their_peak() -> None:
+    """Guards against pools without hosts at the start of the next cycle of peaks."""
+    peaks = {"a": capacity.PeakState(8), "b": capacity.PeakState(8)}
+    run_peak(peaks, "a", 10.0)
+    run_peak(peaks, "b", 20.0)
+    capacity.update_resting(peaks)
+    assert not peaks["a"].is_resting
+    assert peaks["b"].is_resting
 
 
 @pytest.mark.parametrize(
@@ -80,45 +80,45 @@
     [
         ([0.0], False),
         ([80.0], True),
-        ([80.0, 20.0], True),  # short dips do not end a turn
+        ([80.0, 20.0], True),  # a short dip does not end a peak
         ([80.0, 20.0, 20.0, 20.0], False),
         ([80.0, 20.0, 60.0, 20.0], True),
     ],
 )
-def test_turns(uses: list[float], is_peaking: bool) -> None:
-    """Guards against moves on every short change of demand."""
-    turn = capacity.TurnState(8)
+def test_peak_detection(uses: list[float], is_peaking: bool) -> None:
+    """Guards against moves after every short change of demand."""
+    peak = capacity.PeakState(8)
     for second, used in enumerate(uses):
         view = make_view("a", used_cores=used)
-        capacity.update_turn(turn, view, float(second))
-    assert turn.is_peaking is is_peaking
+        capacity.update_peak(peak, view, float(second))
+    assert peak.is_peaking is is_peaking
 
 
-def test_idle_hosts_are_lent_before_the_own_turn() -> None:
-    """Guards against work that is late beside idle hosts of another pool."""
-    peak = make_view(
+def test_idle_hosts_are_lent_before_the_own_peak() -> None:
+    """Guards against work that becomes late while hosts of another pool are idle."""
+    peaking_view = make_view(
         "a", used_cores=128.0, waiting_cores=90.0, arriving_cores=260.0, movable=[]
     )
-    moves = capacity.plan_moves([peak, make_view("b"), make_spare(0)], {}, 0.0)
+    moves = capacity.plan_moves([peaking_view, make_view("b"), make_spare(0)], {}, 0.0)
     assert {(move.source, move.destination) for move in moves} == {("b", "a")}
     assert len(moves) == 4  # half of the home size stays
 
 
 def test_idle_hosts_are_lent_at_the_end_of_a_peak() -> None:
-    """Guards against hosts that idle until a turn is certainly over."""
-    turns = {"a": capacity.TurnState(8), "b": capacity.TurnState(8)}
-    capacity.plan_moves([make_view("a", used_cores=100.0, movable=[])], turns, 0.0)
-    ending = make_view("a", hosts=12, used_cores=50.0)
-    peak = make_view(
+    """Guards against hosts that stay idle until the end of a peak is certain."""
+    peaks = {"a": capacity.PeakState(8), "b": capacity.PeakState(8)}
+    capacity.plan_moves([make_view("a", used_cores=100.0, movable=[])], peaks, 0.0)
+    ending_view = make_view("a", hosts=12, used_cores=50.0)
+    peaking_view = make_view(
         "b", used_cores=128.0, waiting_cores=90.0, arriving_cores=260.0, movable=[]
     )
-    moves = capacity.plan_moves([ending, peak, make_spare(0)], turns, 0.4)
-    assert turns["a"].is_peaking
+    moves = capacity.plan_moves([ending_view, peaking_view, make_spare(0)], peaks, 0.4)
+    assert peaks["a"].is_peaking
     assert {(move.source, move.destination) for move in moves} == {("a", "b")}
 
 
 def test_pool_with_waiting_work_lends_nothing() -> None:
-    """Guards against hosts that go round between pools that all lack some."""
+    """Guards against moving hosts back and forth between pools that all lack some."""
     views = [
         make_view(name, used_cores=128.0, waiting_cores=90.0, arriving_cores=260.0)
         for name in ("a", "b")
@@ -126,13 +126,15 @@
     assert not capacity.plan_moves([*views, make_spare(0)], {}, 0.0)
 
 
-def test_need_is_held_between_uneven_arrivals() -> None:
-    """Guards against hosts that leave a peak during a short gap."""
-    turns = {"a": capacity.TurnState(8)}
+def test_need_is_kept_between_uneven_arrivals() -> None:
+    """Guards against hosts that leave a pool at its peak during a short gap."""
+    peaks = {"a": capacity.PeakState(8)}
     busy = make_view(
         "a", hosts=12, used_cores=180.0, arriving_cores=180.0, movable=["a-1"]
     )
     gap = make_view("a", hosts=12, used_cores=100.0, movable=["a-1", "a-2"])
-    assert not capacity.plan_moves([busy, make_spare(0)], turns, 0.0)
-    assert not capacity.plan_moves([gap, make_spare(0)], turns, 1.0)
-    assert capacity.plan_moves([gap, make_spare(0)], turns, 1.0 + capacity.HOLD_S)
+    assert not capacity.plan_moves([busy, make_spare(0)], peaks, 0.0)
+    assert not capacity.plan_moves([gap, make_spare(0)], peaks, 1.0)
+    assert capacity.plan_moves(
+        [gap, make_spare(0)], peaks, 1.0 + capacity.NEED_WINDOW_S
+    )
--- a/clementinespar/jobs/worker_session.py
+++ b/clementinespar/jobs/worker_session.py
@@ -1,8 +1,8 @@
-"""One task for each worker: renews its lease, reads its lists, gives it orders.
+"""Session with one worker: renews its lease, reads its reports and sends its orders.
 
-An order without an answer is open, not failed: its run counts as executing until the
-worker lists it, or a stop of that same run was answered and a later list does not show
-it, or the worker's lease has certainly ended.
+A start without an answer has not failed: its run counts as executing until the worker
+lists it, or until a stop of the same run was answered and a later report does not list
+it, or until the worker's lease has certainly ended.
 """
 
 import asyncio
@@ -14,26 +14,26 @@
 from clementinespar.jobs import model, services
 
 # A worker's clock may run 2% slow, so a lease lasts that much longer in real time.
-CLOCK_RATE = 0.98
+MIN_CLOCK_RATE = 0.98
 LEASE_MARGIN_S = 0.15  # network and timer delay beyond the end of a lease
-RENEW_WAIT_MS = 800  # a renewal waits this long for an end
-SETTLE_WAIT_MS = 60  # shorter wait while a stop or an open order is outstanding
-RENEW_SPACING_S = 0.025  # collects ends, since each renewal is priced
+RENEW_WAIT_MS = 800  # a renewal waits at the worker this long for a run to end
+SETTLE_WAIT_MS = 60  # shorter wait while a start or a stop has no answer
+RENEW_SPACING_S = 0.025  # batches ends, since each renewal has a price
 RETRY_DELAY_S = 0.15
-SILENT_AFTER_S = 1.6  # no new work for a worker without contact for this long
-EJECT_FAILED_JOBS = 2  # jobs that failed in a row on a worker before it is ejected
+UNRESPONSIVE_AFTER_S = 1.6  # no new work for a worker without contact for this long
+EJECT_FAILED_JOBS = 2  # failed jobs without a success between eject a worker
 EJECT_S = 2.5
-# A worker that was silent and back before within the window gets a pause of 1, 2, then
-# 4 s; an idle worker would otherwise attract work each time it returns.
+# A worker that has already become responsive again within the window gets no new work
+# for 1, 2, then 4 s; otherwise it would attract work each time it returns, being idle.
 FLAP_WINDOW_S = 15.0
 FLAP_PAUSE_MAX_S = 4.0
 
 
 class RunStatus(enum.Enum):
-    """How far a run is, as its owner knows it."""
+    """State of a run, as its owner knows it."""
 
     STARTING = "starting"
-    OPEN = "open"  # the start has no answer
+    OPEN = "open"  # the start was sent and has no answer
     RUNNING = "running"
     STOPPING = "stopping"
 
@@ -62,15 +62,15 @@
     number: int
     spec: model.StepSpec
     status: RunStatus
-    started_at: float  # event-loop times
-    answered_at: float
+    started_at: float  # event-loop time, as are the following
+    answered_at: float  # when its start was answered, given up or first listed
     stop_answered_at: float | None
     is_stop_in_flight: bool
     percent: int
-    percent_at: float  # when the percent last changed
-    usage: int
-    paced_at: float | None  # when its pace last changed
-    pace: int  # percent
+    percent_at: float  # when `percent` last changed
+    usage: int  # as in `model.RunningTask`
+    paced_at: float | None  # when `pace` last changed
+    pace: int  # share of its speed, in percent
     session: "WorkerSession"
 
     def __init__(
@@ -98,50 +98,50 @@
 
 
 class RunEvents(Protocol):
-    """What a session tells the owner of its pool."""
+    """Events and queries of a session, handled by the owner of its pool."""
 
     def confirmed_at(self) -> float | None:
-        """Return when the newest confirmation of ownership was asked for."""
+        """Return when the last call that confirmed ownership was sent."""
         ...
 
     def may_lease(self, worker_id: str) -> bool:
-        """Whether the next owner would learn from the store of a lease there."""
+        """Whether the stored record tells the next owner of a lease on the worker."""
         ...
 
     def on_contact(self, session: "WorkerSession") -> None:
-        """Note that a renewal was answered."""
+        """Handle the report of an answered renewal."""
         ...
 
-    def on_silent(self, session: "WorkerSession") -> None:
-        """Note that a renewal had no answer."""
+    def on_unresponsive(self, session: "WorkerSession") -> None:
+        """Handle a renewal without an answer."""
         ...
 
     def on_end(
         self, session: "WorkerSession", end: model.EndedTask, run: Run | None
     ) -> None:
-        """Apply an end from the worker's list."""
+        """Apply the end of a run that the worker lists."""
         ...
 
-    def on_gone(self, session: "WorkerSession", run: Run, reason: str) -> None:
-        """Note that a run certainly does not execute, without an end."""
+    def on_run_gone(self, session: "WorkerSession", run: Run, reason: str) -> None:
+        """Handle a run that certainly does not execute although no end was listed."""
         ...
 
     def on_unknown_run(
         self, session: "WorkerSession", listed: model.RunningTask
     ) -> Run | None:
-        """Return the run to track for one that a former owner started."""
+        """Return the run to track for one of a previous owner; None if unwanted."""
         ...
 
     def on_fenced(self) -> None:
-        """Note that a worker has seen a later owner."""
+        """Handle a refused order: the worker has seen a later owner."""
         ...
 
     def on_ticket_rejected(self, session: "WorkerSession", run: Run) -> None:
-        """Note that a worker did not accept the ticket of a start."""
+        """Handle a start whose ticket the worker did not accept."""
         ...
 
     def orphan_spec(self, key: model.TaskKey) -> model.StepSpec:
-        """Return the size of a run that must be stopped."""
+        """Return the spec of a run that this owner does not want and has to stop."""
         ...
 
 
@@ -150,39 +150,39 @@
 
     entry: model.WorkerEntry
     fence: int
-    lease_s: float  # longest lease counted from the confirmation of ownership
+    lease_s: float  # longest lease, counted from the confirmation of ownership
     runs: dict[tuple[model.TaskKey, int], Run]
     free_cpu: int
     free_memory: int
     free_gpus: int
-    is_touched: bool  # it has answered this owner, so former owners are harmless
-    is_listed: bool  # the directory has it
+    has_answered: bool  # it knows the fence, so it refuses orders of previous owners
+    is_listed: bool  # the directory lists the worker
     is_evacuating: bool
-    lease_bound: float  # event-loop time after which nothing of ours executes there
-    last_contact: float
-    acknowledged: int  # ends up to here are stored
-    processed: int  # ends up to here are applied in memory
+    lease_bound: float  # event-loop time after which none of our runs executes there
+    last_contact: float  # event-loop time
+    acknowledged: int  # number of the last end that is stored
+    processed: int  # number of the last end that is applied in memory
     born_ms: int
     failed_jobs: set[str]
     ejected_until: float
     _client: services.WorkerClient
     _events: RunEvents
-    _record: services.JobRecorder
+    _log_event: services.EventLog
     _clock_ms: int | None
     _clock_at: float
     _task: asyncio.Task[None] | None
     _orders: set[asyncio.Task[None]]
-    _returns: list[float]  # event-loop times at which it was back from silence
+    _returns: list[float]  # event-loop times at which it became responsive again
 
     def __init__(
         self,
         entry: model.WorkerEntry,
         fence: int,
         lease_s: float,
-        former_bound: float,
+        previous_lease_bound: float,
         client: services.WorkerClient,
         events: RunEvents,
-        record: services.JobRecorder,
+        log_event: services.EventLog,
     ) -> None:
         self.entry = entry
         self.fence = fence
@@ -191,10 +191,10 @@
         self.free_cpu = entry.cpu_millis
         self.free_memory = entry.memory_mb
         self.free_gpus = entry.gpus
-        self.is_touched = False
+        self.has_answered = False
         self.is_listed = True
         self.is_evacuating = False
-        self.lease_bound = former_bound
+        self.lease_bound = previous_lease_bound
         self.last_contact = 0.0
         self.acknowledged = 0
         self.processed = 0
@@ -203,7 +203,7 @@
         self.ejected_until = 0.0
         self._client = client
         self._events = events
-        self._record = record
+        self._log_event = log_event
         self._clock_ms = None
         self._clock_at = 0.0
         self._task = None
@@ -211,11 +211,11 @@
         self._returns = []
 
     def open(self) -> None:
-        """Start the task of this worker."""
-        self._task = asyncio.create_task(self._keep())
+        """Start the background task that renews the lease."""
+        self._task = asyncio.create_task(self._renew_lease())
 
     def close(self) -> None:
-        """Stop calling the worker; runs there go on until their lease ends."""
+        """Stop calling the worker; its runs go on until the lease ends."""
         if self._task is not None:
             self._task.cancel()
         for order in self._orders:
@@ -224,25 +224,25 @@
     def can_take(self, now: float) -> bool:
         """Whether the worker may get new work."""
         return (
-            self.is_touched
+            self.has_answered
             and self.is_listed
             and not self.is_evacuating
             and not self.entry.is_draining
-            and now - self.last_contact < SILENT_AFTER_S
+            and now - self.last_contact < UNRESPONSIVE_AFTER_S
             and now >= self.ejected_until
         )
 
     def is_released(self) -> bool:
-        """Whether nothing runs on a worker that gets no new work for now."""
+        """Whether the worker has no runs and gets no new work at present."""
         now = asyncio.get_running_loop().time()
         return not self.runs and (
             self.is_evacuating
             or not self.is_listed
-            or now - self.last_contact >= SILENT_AFTER_S
+            or now - self.last_contact >= UNRESPONSIVE_AFTER_S
         )
 
     def fits(self, spec: model.StepSpec) -> bool:
-        """Whether the free capacity holds one more task of a step."""
+        """Whether the free capacity is enough for one more task of a step."""
         return (
             (spec.is_filler or spec.cpu_millis <= self.free_cpu)
             and spec.memory_mb <= self.free_memory
@@ -251,7 +251,7 @@
         )
 
     def add_run(self, run: Run) -> None:
-        """Count a run's capacity as in use."""
+        """Track a run and count its capacity as in use."""
         self.runs[(run.key, run.number)] = run
         if not run.spec.is_filler:
             self.free_cpu -= run.spec.cpu_millis
@@ -259,7 +259,7 @@
         self.free_gpus -= run.spec.gpus
 
     def drop_run(self, run: Run) -> bool:
-        """Free a run's capacity; False if it was not counted."""
+        """Stop tracking a run and free its capacity; False if it was not tracked."""
         if self.runs.pop((run.key, run.number), None) is None:
             return False
         if not run.spec.is_filler:
@@ -269,14 +269,14 @@
         return True
 
     def start(self, run: Run, payload: str, saved: str, ticket: str = "") -> None:
-        """Give the order to start a run, which must be counted already."""
-        self._give(self._start(run, payload, saved, ticket))
+        """Send the order to start a run, which must be tracked already."""
+        self._spawn(self._start(run, payload, saved, ticket))
 
     def stop(self, run: Run, reason: str) -> None:
-        """Give the order to stop a run."""
+        """Send the order to stop a run, unless it is being stopped already."""
         if run.status is RunStatus.STOPPING:
             return
-        self._record(
+        self._log_event(
             "stop",
             job=run.key.job_id,
             task=run.key.name_in_job,
@@ -286,17 +286,19 @@
         )
         run.status = RunStatus.STOPPING
         run.stop_answered_at = None
-        self._give(self._stop(run))
+        self._spawn(self._stop(run))
 
     def pace(self, run: Run, percent: int) -> None:
-        """Let a run work at a share of its speed."""
+        """Send the order to limit a run to a share of its speed, in percent."""
         run.pace = percent
-        self._give(self._pace(run, percent))
+        self._spawn(self._pace(run, percent))
 
     def lease_until_ms(self) -> int | None:
-        """Return the end of the lease on the worker's clock, or None without a basis.
+        """Return the end of the next lease on the worker's clock, in ms.
 
-        Also moves the bound after which the worker certainly runs nothing of ours.
+        Returns None if the worker's clock is unknown, if ownership is not confirmed for
+        long enough, or if the store does not know the worker to be in use. Otherwise
+        also advances `lease_bound`.
         """
         confirmed = self._events.confirmed_at()
         if self._clock_ms is None or confirmed is None:
@@ -308,20 +310,20 @@
         if end - asyncio.get_running_loop().time() < LEASE_MARGIN_S:
             return None
         self.lease_bound = max(self.lease_bound, end)
-        return self._clock_ms + int(CLOCK_RATE * left_s * 1000)
+        return self._clock_ms + int(MIN_CLOCK_RATE * left_s * 1000)
 
-    def note_clock(self, clock_ms: int) -> None:
-        """Keep the worker's clock as read from a response."""
+    def set_clock(self, clock_ms: int) -> None:
+        """Set the worker's clock to the time in a response."""
         self._clock_ms = clock_ms
         self._clock_at = asyncio.get_running_loop().time()
 
-    async def _keep(self) -> None:
+    async def _renew_lease(self) -> None:
         loop = asyncio.get_running_loop()
         failures = 0
         while True:
             sent_at = loop.time()
             wait_ms = RENEW_WAIT_MS
-            if not self.is_touched:
+            if not self.has_answered:
                 wait_ms = 0
             elif any(
                 run.status in (RunStatus.OPEN, RunStatus.STOPPING)
@@ -333,15 +335,15 @@
                     self.entry,
                     self.fence,
                     self.acknowledged,
-                    # A silent worker is only looked at: a renewal without an answer
-                    # may still arrive, and its lease would never certainly end.
+                    # An unresponsive worker gets no lease: a renewal without an answer
+                    # may still arrive, and the lease would never certainly end.
                     None if failures else self.lease_until_ms(),
                     0 if failures else wait_ms,
                 )
             except errors.ClementinesparError as error:
                 failures += 1
                 if failures in (1, 10):
-                    self._record(
+                    self._log_event(
                         "worker_silent",
                         worker=self.entry.worker_id,
                         code=int(error.code),
@@ -349,8 +351,8 @@
                         open_runs=len(self.runs),
                         error=error.message,
                     )
-                self._events.on_silent(self)
-                self._drop_lapsed()
+                self._events.on_unresponsive(self)
+                self._drop_lapsed_runs()
                 await asyncio.sleep(RETRY_DELAY_S if failures < 20 else 0.5)
                 continue
             if report is None:
@@ -358,13 +360,13 @@
                 await asyncio.sleep(0.5)
                 continue
             if failures:
-                self._note_return(failures)
+                self._record_return(failures)
             failures = 0
             self._apply(report, sent_at)
             await asyncio.sleep(RENEW_SPACING_S)
 
-    def _note_return(self, failures: int) -> None:
-        """Keep new work for a while from a worker that goes and comes repeatedly."""
+    def _record_return(self, failures: int) -> None:
+        """Pause new work for a worker that was unresponsive repeatedly."""
         now = asyncio.get_running_loop().time()
         self._returns = [at for at in self._returns if now - at < FLAP_WINDOW_S]
         pause_s = 0.0
@@ -372,30 +374,30 @@
             pause_s = min(FLAP_PAUSE_MAX_S, 2.0 ** (len(self._returns) - 1))
             self.ejected_until = max(self.ejected_until, now + pause_s)
         self._returns.append(now)
-        self._record(
+        self._log_event(
             "worker_back",
             worker=self.entry.worker_id,
             failures=failures,
             pause_s=pause_s,
         )
 
-    def _drop_lapsed(self) -> None:
-        """Release runs of a silent worker once its lease has certainly ended."""
+    def _drop_lapsed_runs(self) -> None:
+        """Drop runs of an unresponsive worker once its lease has certainly ended."""
         now = asyncio.get_running_loop().time()
         if now < self.lease_bound + LEASE_MARGIN_S:
             return
         for run in list(self.runs.values()):
             if run.status is not RunStatus.STARTING:
                 self.drop_run(run)
-                self._events.on_gone(self, run, "lease ended on a silent worker")
+                self._events.on_run_gone(self, run, "lease ended on a silent worker")
 
     def _apply(self, report: model.WorkerReport, sent_at: float) -> None:
-        self.note_clock(report.clock_ms)
+        self.set_clock(report.clock_ms)
         now = asyncio.get_running_loop().time()
         self.last_contact = now
         if report.born_ms != self.born_ms:
             if self.born_ms:
-                self._record(
+                self._log_event(
                     "worker_reborn",
                     worker=self.entry.worker_id,
                     born_ms=report.born_ms,
@@ -440,14 +442,14 @@
             for run in list(self.runs.values()):
                 if (run.key, run.number) not in listed:
                     self._settle_unlisted(run, sent_at)
-        self.is_touched = True
+        self.has_answered = True
         for run in self.runs.values():
             if (
                 run.status is RunStatus.STOPPING
                 and run.stop_answered_at is None
                 and not run.is_stop_in_flight
             ):
-                self._give(self._stop(run))
+                self._spawn(self._stop(run))
         self._events.on_contact(self)
 
     def _settle_unlisted(self, run: Run, sent_at: float) -> None:
@@ -455,16 +457,16 @@
             self.stop(run, "the start has no answer and is not listed")
         elif run.status is RunStatus.RUNNING and run.answered_at < sent_at:
             self.drop_run(run)
-            self._events.on_gone(self, run, "no longer listed")
+            self._events.on_run_gone(self, run, "no longer listed")
         elif (
             run.status is RunStatus.STOPPING
             and run.stop_answered_at is not None
             and run.stop_answered_at < sent_at
         ):
             self.drop_run(run)
-            self._events.on_gone(self, run, "stopped before it started")
+            self._events.on_run_gone(self, run, "stopped before it started")
 
-    def _give(self, order: Coroutine[None, None, None]) -> None:
+    def _spawn(self, order: Coroutine[None, None, None]) -> None:
         task = asyncio.create_task(order)
         self._orders.add(task)
         task.add_done_callback(self._orders.discard)
@@ -482,13 +484,15 @@
             answer = await self._client.start(self.entry, order)
         except errors.ClementinesparError as error:
             if error.code is codes.ResultCode.CALL_NOT_SENT:
-                self.last_contact = min(self.last_contact, loop.time() - SILENT_AFTER_S)
+                self.last_contact = min(
+                    self.last_contact, loop.time() - UNRESPONSIVE_AFTER_S
+                )
                 self._abandon(run, error.message)
                 return
             run.answered_at = loop.time()
             if run.status is RunStatus.STARTING:
                 run.status = RunStatus.OPEN
-            self._record(
+            self._log_event(
                 "start_unanswered",
                 job=run.key.job_id,
                 task=run.key.name_in_job,
@@ -498,7 +502,7 @@
             )
             return
         if answer.clock_ms is not None:
-            self.note_clock(answer.clock_ms)
+            self.set_clock(answer.clock_ms)
         run.answered_at = loop.time()
         run.percent_at = run.answered_at
         if answer.result is model.StartResult.STARTED:
@@ -516,7 +520,7 @@
 
     def _abandon(self, run: Run, reason: str) -> None:
         if self.drop_run(run):
-            self._events.on_gone(self, run, reason)
+            self._events.on_run_gone(self, run, reason)
 
     async def _stop(self, run: Run) -> None:
         run.is_stop_in_flight = True
@@ -526,7 +530,7 @@
             else:
                 self._events.on_fenced()
         except errors.ClementinesparError as error:
-            self._record(
+            self._log_event(
                 "stop_unanswered",
                 job=run.key.job_id,
                 run=run.number,
@@ -542,24 +546,24 @@
                 self.entry, run.key, run.number, percent, self.fence
             )
         except errors.ClementinesparError as error:
-            # The next report shows the tail again, and the order is given anew.
+            # The pace is unknown now; -1 differs from each that a report can lead to.
             run.pace = -1
-            self._record(
+            self._log_event(
                 "pace_unanswered",
                 job=run.key.job_id,
                 worker=self.entry.worker_id,
                 code=int(error.code),
             )
 
-    def note_outcome(self, job_id: str, is_failure: bool) -> bool:
-        """Count an outcome; True if the worker is ejected by it."""
+    def record_outcome(self, job_id: str, is_failure: bool) -> bool:
+        """Record the outcome of a run; True if a failure ejects the worker."""
         if not is_failure:
             self.failed_jobs.clear()
             return False
         self.failed_jobs.add(job_id)
         if len(self.failed_jobs) < EJECT_FAILED_JOBS:
             return False
-        # One job stays counted, so that a single failed probe ejects again.
+        # One job stays counted, so that a failure of another job ejects again.
         self.failed_jobs = {job_id}
         self.ejected_until = asyncio.get_running_loop().time() + EJECT_S
         return True
--- a/clementinespar/jobs/worker_use.py
+++ b/clementinespar/jobs/worker_use.py
@@ -1,120 +1,124 @@
-"""Which workers may execute work of a pool, as far as the store knows.
+"""Record of the workers that may execute runs of a partition.
 
-The record lets a next owner wait for just those workers on which a former owner's
-lease may last. Time left is stored instead of a point in time, since the clocks of two
-nodes may differ.
+It is stored, so that the next owner waits only for workers on which a lease of a
+previous owner may last. The remaining time of a lease is stored instead of its end,
+since the clocks of two nodes may differ.
 """
 
 import asyncio
 import json
 
-ANY_WORKER = ""  # stands for all, if the record is unreadable
-LEFT_INTERVAL_S = 1.0  # between records of the time that former leases have left
+ANY_WORKER = ""  # stands for all workers if the record is unreadable
+RECORD_INTERVAL_S = 1.0  # between records of the remaining time of previous leases
 
 
 class WorkerUse:
-    """Workers that this owner uses, and leases of former owners."""
+    """Workers that this owner uses, and leases of previous owners."""
 
-    answered: set[str]  # workers on which former owners are harmless
+    answered: set[str]  # workers that refuse orders of previous owners
     in_use: set[str]  # workers on which a run of this owner may execute
-    stored: set[str]  # workers that the store knows to be in use by this owner
-    _unreached: set[str]  # used by the former owner, and not called long enough yet
-    _told: set[str]  # workers in use by the newest record, which may not be stored yet
-    _ends: dict[str, float]  # worker id: event-loop time at which former leases end
-    _told_at: float  # event-loop time
+    stored: set[str]  # workers in use according to the stored record
+    # Used by the previous owner; recorded as in use until there was time to call them.
+    _unreached: set[str]
+    _recorded: set[str]  # workers in use by the newest record, stored or not
+    _lease_ends: dict[str, float]  # worker id: event-loop end of previous leases
+    _recorded_at: float  # event-loop time
 
     def __init__(self) -> None:
         self.answered = set()
         self.in_use = set()
         self.stored = set()
         self._unreached = set()
-        self._told = set()
-        self._ends = {}
-        self._told_at = 0.0
+        self._recorded = set()
+        self._lease_ends = {}
+        self._recorded_at = 0.0
 
     @property
-    def former_count(self) -> int:
-        """Number of workers on which a former lease may last."""
-        return len(self._ends)
-
-    def former_end(self, worker_id: str) -> float:
-        """Return the event-loop time at which former leases on a worker have ended."""
-        return max(self._ends.get(worker_id, 0.0), self._ends.get(ANY_WORKER, 0.0))
+    def previous_worker_count(self) -> int:
+        """Number of workers on which a lease of a previous owner may last."""
+        return len(self._lease_ends)
+
+    def previous_lease_end(self, worker_id: str) -> float:
+        """Return the event-loop time at which previous leases on a worker end."""
+        return max(
+            self._lease_ends.get(worker_id, 0.0), self._lease_ends.get(ANY_WORKER, 0.0)
+        )
 
     def is_settled(self) -> bool:
-        """Whether no worker can still execute what a former owner started unseen."""
+        """Whether no worker can execute runs of previous owners unknown to this one."""
         now = asyncio.get_running_loop().time()
         return all(
             now > end or worker_id in self.answered
-            for worker_id, end in self._ends.items()
+            for worker_id, end in self._lease_ends.items()
         )
 
     def is_due(self) -> bool:
-        """Whether the record is to be stored."""
+        """Whether the record has to be stored again."""
         if self.in_use | self._unreached != self.stored:
             return True
         now = asyncio.get_running_loop().time()
-        return bool(self._ends) and now - self._told_at > LEFT_INTERVAL_S
+        return bool(self._lease_ends) and now - self._recorded_at > RECORD_INTERVAL_S
 
     def wait_for_all(self, fenced_at: float, lease_s: float) -> None:
-        """Expect leases everywhere, as the former owner's record is unreadable."""
-        self._ends[ANY_WORKER] = fenced_at + lease_s
+        """Assume a lease on every worker, as the previous record is unreadable."""
+        self._lease_ends[ANY_WORKER] = fenced_at + lease_s
 
     def restore(self, value: bytes, fenced_at: float, lease_s: float) -> None:
-        """Read the former owner's record.
+        """Restore the record of the previous owner.
 
-        The workers that it used count as stored, as a next owner reads the same record
-        until this one writes its own: their leases are extended without a pause.
+        The workers that it used count as stored, since the next owner reads the same
+        record until this one writes its own. So their leases can be renewed at once.
 
         Parameters
         ----------
         value : bytes
             The record.
         fenced_at : float
-            Event-loop time after which the former owner could store nothing.
+            Event-loop time after which the previous owner could store nothing.
         lease_s : float
-            Longest time that its leases last, in seconds.
+            Longest duration of its leases, in seconds.
 
         Raises
         ------
         ValueError, KeyError, TypeError, AttributeError
             The record is unreadable.
         """
-        told = json.loads(value)
+        fields = json.loads(value)
         ends = {
             str(worker_id): fenced_at + float(left_s)
-            for worker_id, left_s in told["former"].items()
+            for worker_id, left_s in fields["former"].items()
         }
-        self._unreached = {str(worker_id) for worker_id in told["used"]}
+        self._unreached = {str(worker_id) for worker_id in fields["used"]}
         for worker_id in self._unreached:
             ends[worker_id] = fenced_at + lease_s
-        self._ends = ends
+        self._lease_ends = ends
         self.stored = set(self._unreached)
-        self._told_at = fenced_at
+        self._recorded_at = fenced_at
 
     def encode(self) -> bytes:
         """Return the record for the next owner.
 
-        A worker that this owner has not reached within the interval keeps the end of
-        its former leases. It gets no lease from here on until it is stored again.
+        A worker that this owner has not reached within the interval is recorded only
+        with the end of its previous leases. It gets no lease until a record that has it
+        in use is stored.
         """
         now = asyncio.get_running_loop().time()
-        if now - self._told_at > LEFT_INTERVAL_S:
+        if now - self._recorded_at > RECORD_INTERVAL_S:
             self._unreached = set()
-            self._told_at = now
-        for worker_id, end in list(self._ends.items()):
+            self._recorded_at = now
+        for worker_id, end in list(self._lease_ends.items()):
             if now > end or worker_id in self.answered:
-                del self._ends[worker_id]
-        self._told = self.in_use | self._unreached
-        self.stored &= self._told
-        former = {
+                del self._lease_ends[worker_id]
+        self._recorded = self.in_use | self._unreached
+        self.stored &= self._recorded
+        previous_leases = {
             worker_id: round(end - now, 3)
-            for worker_id, end in sorted(self._ends.items())
-            if worker_id not in self._told
+            for worker_id, end in sorted(self._lease_ends.items())
+            if worker_id not in self._recorded
         }
-        told = {"used": sorted(self._told), "former": former}
-        return json.dumps(told, separators=(",", ":")).encode()
+        fields = {"used": sorted(self._recorded), "former": previous_leases}
+        return json.dumps(fields, separators=(",", ":")).encode()
 
-    def note_stored(self) -> None:
-        """Note that the newest record is stored."""
-        self.stored = set(self._told)
+    def mark_stored(self) -> None:
+        """Set the workers of the newest record as stored."""
+        self.stored = set(self._recorded)
