--- a/clementinespar/log/follower.py
+++ b/clementinespar/log/follower.py
@@ -1,4 +1,4 @@
-"""Reads the log, or peers during an outage, and keeps the newest folded state."""
+"""Follows the log, or peers during an outage, and maintains the folded state."""
 
 import asyncio
 import collections
@@ -21,34 +21,35 @@
 
 Listener = Callable[[service.LogEntry, codes.ResultCode], None]
 
-_PAGE_ENTRIES: Final = 200  # one page is folded in a few ms without yielding the loop
-_RING_BYTES = 8 * 1024 * 1024  # recent entries kept for peers, of 128 MB a node
-_ENTRY_OVERHEAD_BYTES = 200  # rough cost of an entry besides its payload
-# A start replays at most this many entries (about 1 s) before it looks for a snapshot.
+_PAGE_ENTRIES: Final = 200  # folding a page blocks the event loop for a few ms
+_MAX_RECENT_BYTES = 8 * 1024 * 1024  # recent entries kept for peers; a node has 128 MB
+_ENTRY_OVERHEAD_BYTES = 200  # approximate memory of an entry besides its payload
+# If the log has more entries than this (about 1 s of replay), a node that starts looks
+# for a snapshot first.
 _MAX_REPLAY_ENTRIES = 20_000
-# Peers are asked when they are ahead and the log has not answered for this long. It is
-# well below the objective of 4 s until a document is in force everywhere.
-_RELAY_GRACE_S = 0.5
-_RETRY_DELAY_S = 0.2  # between attempts while the log does not answer
+# Entries are fetched from peers that are ahead when the log has not answered for this
+# long. It is well below the objective of 4 s until a document is in force everywhere.
+_PEER_FALLBACK_DELAY_S = 0.5
+_RETRY_DELAY_S = 0.2  # between attempts while the log is unavailable
 _MAX_RETRY_DELAY_S = 1.0
 
 
 class Follower:
-    """Holder of the newest folded state; implements `fleet.source.FleetSource`.
+    """Maintains the newest folded state; implements `fleet.source.FleetSource`.
 
     Parameters
     ----------
     log : service.LogService
         The platform's log.
     relay : log_relay.PeerRelay or None
-        Peers that are asked while the log does not answer or is behind them.
+        Peers to fetch entries from while the log is unavailable or behind them.
     poll_wait_s : float
         Longest wait of one read for new entries, in seconds.
     """
 
-    is_ready: bool  # the log or a peer has answered and all that it had is applied
+    is_ready: bool  # the log or a peer has answered and all of its entries are applied
     is_log_answering: bool  # the last read of the log was answered
-    last_error: str  # why the log does not answer, empty while it does
+    last_error: str  # why the log is unavailable, empty while it answers
 
     _log_service: service.LogService
     _relay: log_relay.PeerRelay | None
@@ -58,8 +59,8 @@
     _recent_bytes: int  # size of the entries in _recent
     _listeners: list[Listener]
     _waiters: list[tuple[int, int, asyncio.Future[None]]]  # heap by offset
-    _waiter_numbers: "itertools.count[int]"  # keeps equal offsets comparable
-    _encoded: tuple[int, bytes] | None  # newest encoded state, reused for peers
+    _waiter_numbers: "itertools.count[int]"  # breaks ties between equal offsets
+    _cached_snapshot: tuple[int, bytes] | None  # offset and encoded state
 
     def __init__(
         self,
@@ -79,7 +80,7 @@
         self._listeners = []
         self._waiters = []
         self._waiter_numbers = itertools.count()
-        self._encoded = None
+        self._cached_snapshot = None
 
     @property
     def state(self) -> fleet_state.FleetState:
@@ -88,11 +89,11 @@
 
     @property
     def oldest_kept_offset(self) -> int:
-        """Offset of the oldest entry that `recent_entries` can give."""
+        """Offset of the oldest entry that `recent_entries` can return."""
         return self._recent[0].offset if self._recent else self._state.offset + 1
 
     def add_listener(self, callback: Listener) -> None:
-        """Call back after each applied entry.
+        """Register a callback that runs after each applied entry.
 
         Entries that a loaded snapshot covers are not reported.
         """
@@ -101,22 +102,25 @@
     def recent_entries(
         self, from_offset: int, limit: int
     ) -> tuple[service.LogEntry, ...]:
-        """Return recent entries from an offset on; empty if it is no longer kept."""
+        """Return recent entries from an offset on; empty if its entry is not kept."""
         start = from_offset - self.oldest_kept_offset
         if start < 0:
             return ()
         return tuple(itertools.islice(self._recent, start, start + limit))
 
     def snapshot(self) -> tuple[int, bytes]:
-        """Return an offset and the compressed state as of it, for a peer.
+        """Return an offset and the compressed state as of that offset, for a peer.
 
-        An earlier result is returned again while the entries after it are still kept,
-        because encoding costs far more than sending the entries.
+        The previous result is reused while the entries after it are still kept, because
+        encoding the state costs far more than sending the entries.
         """
-        if self._encoded is None or self._encoded[0] + 1 < self.oldest_kept_offset:
+        if (
+            self._cached_snapshot is None
+            or self._cached_snapshot[0] + 1 < self.oldest_kept_offset
+        ):
             encoded = fleet_snapshot.encode_state(self._state)
-            self._encoded = (self._state.offset, encoded)
-        return self._encoded
+            self._cached_snapshot = (self._state.offset, encoded)
+        return self._cached_snapshot
 
     async def wait_applied(self, offset: int) -> None:
         """Wait until the entry at an offset has been applied."""
@@ -127,18 +131,18 @@
         await future
 
     async def refresh(self, timeout_s: float) -> bool:
-        """Apply all that the log has now; False if the log did not answer in time.
+        """Apply everything in the log; return False if it did not answer in time.
 
-        An answer from an old copy of the log, which lacks entries that this node or a
-        live peer had before the call, also counts as no answer.
+        Also returns False if the answer comes from an old copy of the log, which lacks
+        entries that this node or a live peer had before the call.
         """
         known_offset = self._state.offset
         if self._relay is not None:
             known_offset = max(known_offset, self._relay.highest_offset())
         try:
             async with asyncio.timeout(timeout_s):
-                # The read starts after the call, so its end offset covers every append
-                # that was complete before the call.
+                # The read starts after this method is called, so its end offset covers
+                # every append that was complete before the call.
                 page = await self._read_log(0.0)
                 end_offset = page.end_offset
                 if end_offset <= known_offset:
@@ -163,47 +167,49 @@
             await asyncio.gather(task, return_exceptions=True)
 
     async def _follow(self) -> None:
-        """Read the log for ever; take from peers what the log does not give."""
+        """Read the log until cancelled; fetch what it cannot provide from peers."""
         retry_delay_s = _RETRY_DELAY_S
         while True:
             try:
-                page = await self._read_log_or_relay()
+                page = await self._read_log_or_peers()
             except errors.ClementinesparError as error:
                 if self.is_log_answering or not self.last_error:
-                    _log.warning("the log does not answer: {}", error)
+                    _log.warning("the log is unavailable: {}", error)
                 self.is_log_answering = False
                 self.last_error = str(error)
-                await self._take_from_relay(is_log_failing=True)
+                await self._fetch_from_peers(is_log_failing=True)
                 await asyncio.sleep(retry_delay_s)
                 retry_delay_s = min(retry_delay_s * 2, _MAX_RETRY_DELAY_S)
                 continue
             except Exception:
-                # The task must outlive a fault in one round; without it the node would
-                # keep an old state for ever.
-                _log.exception("reading the log failed")
+                # An unexpected error in one round must not end the task, or the node
+                # would serve an old state from then on.
+                _log.exception("reading the log failed with an unexpected error")
                 await asyncio.sleep(_MAX_RETRY_DELAY_S)
                 continue
             if not self.is_log_answering and self.last_error:
-                _log.notice("the log answers again at offset {}", self._state.offset)
+                _log.notice(
+                    "the log is available again at offset {}", self._state.offset
+                )
             retry_delay_s = _RETRY_DELAY_S
             is_log_ahead = self._state.offset + 1 < page.end_offset
             if not page.entries and (is_log_ahead or self._is_behind_peers()):
-                # The log answers without what it, or a peer, has beyond this state.
-                await self._take_from_relay(is_log_failing=False)
+                # The page lacks entries that the log or a peer already has.
+                await self._fetch_from_peers(is_log_failing=False)
                 await asyncio.sleep(_RETRY_DELAY_S)
 
-    async def _read_log_or_relay(self) -> service.LogPage:
-        """Read the log; while it does not answer, take entries from peers."""
+    async def _read_log_or_peers(self) -> service.LogPage:
+        """Read the log; while the read is unanswered, fetch entries from peers."""
         is_caught_up = self.is_ready and self.is_log_answering
         wait_s = self._poll_wait_s if is_caught_up else 0.0
         read = asyncio.ensure_future(self._read_log(wait_s))
         try:
             while True:
-                done, _ = await asyncio.wait({read}, timeout=_RELAY_GRACE_S)
+                done, _ = await asyncio.wait({read}, timeout=_PEER_FALLBACK_DELAY_S)
                 if done:
                     return read.result()
                 if self._is_behind_peers() or not self.is_ready:
-                    await self._take_from_relay(is_log_failing=True)
+                    await self._fetch_from_peers(is_log_failing=True)
         finally:
             read.cancel()
 
@@ -219,7 +225,7 @@
                 self._state.offset + 1, _PAGE_ENTRIES, wait_s
             )
         except errors.LogRecordsExpiredError as error:
-            return await self._restart(error.first_offset)
+            return await self._recover_from_expiry(error.first_offset)
         if (
             self._state.offset < 0
             and page.end_offset - page.first_offset > _MAX_REPLAY_ENTRIES
@@ -232,8 +238,8 @@
             self.is_ready = True
         return page
 
-    async def _restart(self, first_offset: int) -> service.LogPage:
-        """Load a state that the kept part of the log can continue.
+    async def _recover_from_expiry(self, first_offset: int) -> service.LogPage:
+        """Load a state from which the entries that the log still keeps can be applied.
 
         Raises
         ------
@@ -248,9 +254,9 @@
         return page
 
     async def _load_from_log(self, first_offset: int, end_offset: int) -> bool:
-        """Load the newest whole snapshot in the log that its entries can continue.
+        """Load the newest complete snapshot that the kept entries of the log continue.
 
-        Reads backwards from the end, because the newest snapshot is close to it.
+        Reads backwards, because the newest snapshot is close to the end of the log.
         """
         collector = fleet_snapshot.ChunkCollector()
         stop = end_offset
@@ -280,12 +286,12 @@
                 return False
             loaded = fleet_snapshot.decode_state(fetched[1])
         except errors.ClementinesparError as error:
-            _log.warning("no snapshot from peers: {}", error)
+            _log.warning("no peer provided a valid snapshot: {}", error)
             return False
         return self._load(loaded, "a peer")
 
     def _load(self, loaded: fleet_state.FleetState, origin: str) -> bool:
-        """Replace the state by a newer one."""
+        """Replace the state if the loaded one is newer."""
         if loaded.offset <= self._state.offset:
             return False
         self._state = loaded
@@ -295,8 +301,8 @@
         _log.notice("loaded a snapshot as of offset {} from {}", loaded.offset, origin)
         return True
 
-    async def _take_from_relay(self, is_log_failing: bool) -> None:
-        """Take from peers what they have beyond this node's state."""
+    async def _fetch_from_peers(self, is_log_failing: bool) -> None:
+        """Apply entries, or load a snapshot, from peers that are ahead of this node."""
         if self._relay is None:
             return
         target = self._relay.highest_offset()
@@ -310,32 +316,32 @@
                 if self._state.offset == before and not await self._load_from_peer():
                     return
         except errors.ClementinesparError as error:
-            _log.debug("no entries from peers: {}", error)
+            _log.debug("fetching entries from peers failed: {}", error)
             return
         if is_log_failing:
             self.is_ready = True
 
     def _apply(self, entries: Iterable[service.LogEntry]) -> None:
-        """Apply the entries that come next; others are known already or leave a gap."""
+        """Apply the next entries; skip those already applied and stop at a gap."""
         for entry in entries:
             if entry.offset <= self._state.offset:
                 continue
             if entry.offset > self._state.offset + 1:
                 break
             code = fleet_state.apply_entry(self._state, entry)
-            self._remember(entry)
+            self._add_recent_entry(entry)
             for listener in self._listeners:
                 try:
                     listener(entry, code)
                 except Exception:
-                    # A fault of a listener must not stop the fold.
-                    _log.exception("a listener failed at offset {}", entry.offset)
+                    # An error in a listener must not stop the fold.
+                    _log.exception("listener failed at offset {}", entry.offset)
         self._wake_waiters()
 
-    def _remember(self, entry: service.LogEntry) -> None:
+    def _add_recent_entry(self, entry: service.LogEntry) -> None:
         self._recent.append(entry)
         self._recent_bytes += len(entry.payload) + _ENTRY_OVERHEAD_BYTES
-        while self._recent_bytes > _RING_BYTES and len(self._recent) > 1:
+        while self._recent_bytes > _MAX_RECENT_BYTES and len(self._recent) > 1:
             dropped = self._recent.popleft()
             self._recent_bytes -= len(dropped.payload) + _ENTRY_OVERHEAD_BYTES
 
@@ -349,9 +355,9 @@
 def _load_chunk(
     collector: fleet_snapshot.ChunkCollector, entry: service.LogEntry
 ) -> fleet_state.FleetState | None:
-    """Return the state of a snapshot whose last missing chunk an entry holds."""
+    """Return the state if the entry is the last missing chunk of a snapshot."""
     if b'"snapshot_chunk"' not in entry.payload:
-        return None  # saves parsing every record on the way back
+        return None  # avoids parsing records of other kinds
     try:
         record = records.parse_record(entry.payload)
     except errors.ClementinesparError:
--- a/clementinespar/log/http.py
+++ b/clementinespar/log/http.py
@@ -12,7 +12,7 @@
 from clementinespar import curl_clients, errors
 from clementinespar.log import service
 
-_MAX_CLIENTS: Final = 64  # a long poll, refreshes and appends run at the same time
+_MAX_CLIENTS: Final = 64  # a long poll, refreshes and appends run concurrently
 _CONNECT_TIMEOUT_S = 1.0
 # curl errors after which no byte of the request can have reached the log.
 _NOT_SENT_ERRORS: Final = frozenset(
@@ -23,8 +23,8 @@
     )
 )
 _CONNECT_TIMEOUT_TEXT = "Connection timed out"
-# Answers by which the log states that nothing was appended. Others, such as a gateway's
-# 502 or 504, leave it open.
+# Statuses with which the log states that nothing was appended. After others, such as a
+# gateway's 502 or 504, the outcome is unknown.
 _REFUSED_STATUSES: Final = frozenset((400, 413, 429, 503))
 
 
@@ -37,12 +37,18 @@
 
 
 def decode_payload(value: object) -> bytes:
-    """Return the payload in its JSON form, or raise ValueError."""
+    """Return the payload for its JSON form; the inverse of `encode_payload`.
+
+    Raises
+    ------
+    ValueError
+        The value is neither text nor valid base64.
+    """
     if isinstance(value, str):
         return value.encode()
     if isinstance(value, dict) and isinstance(value.get("base64"), str):
         return base64.b64decode(value["base64"], validate=True)
-    raise ValueError("payload is neither text nor base64")
+    raise ValueError("payload is neither a string nor an object with a base64 string")
 
 
 class HttpLogService:
@@ -51,14 +57,14 @@
     Parameters
     ----------
     url : str
-        Scheme, IP number and port of the log service.
+        Scheme, IP address and port of the log service.
     request_timeout_s : float
-        Longest time until an answer, besides the wait of a read, in seconds.
+        Longest time until a response, in seconds; the wait of a read is added to it.
     """
 
     _url: str
     _request_timeout_s: float
-    _client: curl_httpclient.CurlAsyncHTTPClient | None  # made in the running loop
+    _client: curl_httpclient.CurlAsyncHTTPClient | None  # created in the running loop
 
     def __init__(self, url: str, request_timeout_s: float) -> None:
         self._url = url.rstrip("/")
@@ -84,7 +90,9 @@
             try:
                 return int(json.loads(response.body)["first_offset"])
             except (ValueError, KeyError, TypeError) as error:
-                raise errors.LogReplyLostError("unreadable append reply") from error
+                raise errors.LogReplyLostError(
+                    "append reply has no valid first_offset"
+                ) from error
         if response.code in _REFUSED_STATUSES:
             raise errors.LogUnavailableError(f"append refused: {response.error}")
         raise errors.LogReplyLostError(f"append not confirmed: {response.error}")
@@ -106,7 +114,7 @@
             if response.code == 200:
                 return _parse_page(json.loads(response.body))
         except (ValueError, KeyError, TypeError) as error:
-            raise errors.LogUnavailableError("unreadable read reply") from error
+            raise errors.LogUnavailableError("read reply cannot be parsed") from error
         raise errors.LogUnavailableError(f"read refused: {response.error}")
 
     async def _fetch(
@@ -129,10 +137,10 @@
 
 
 def _use_fresh_connection(curl: pycurl.Curl) -> None:
-    """Keep libcurl from sending an append twice by itself.
+    """Prevent libcurl from sending an append twice on its own.
 
-    It re-sends a POST when a reused connection closes before the answer. If the second
-    connect fails, the error says that nothing was sent, although the first was.
+    It resends a POST when a reused connection closes before the response. If the second
+    connect fails, the error says that nothing was sent, although the first POST was.
     """
     curl.setopt(pycurl.FRESH_CONNECT, 1)
     curl.setopt(pycurl.FORBID_REUSE, 1)
@@ -141,8 +149,8 @@
 def _is_not_sent(error: curl_httpclient.CurlError) -> bool:
     """Whether no byte of a request can have reached the log."""
     if error.errno == pycurl.E_OPERATION_TIMEDOUT:
-        # One number stands for both timeouts; only the text tells them apart. An
-        # unknown text leaves the outcome open, which is the safe side.
+        # curl has one code for connect and response timeouts; only the text differs. An
+        # unrecognized text counts as possibly sent, which is the safe assumption.
         return _CONNECT_TIMEOUT_TEXT in str(error)
     return error.errno in _NOT_SENT_ERRORS
 
--- a/clementinespar/log/records.py
+++ b/clementinespar/log/records.py
@@ -34,8 +34,8 @@
 
 MAX_RECORD_BYTES = 1_000_000  # larger records are refused before append and on read
 
-# A document of 1,100 hosts shrinks from 245 kB to 15 kB at level 1, which takes
-# 0.35 ms; level 6 takes four times as long for 12 kB.
+# A document of 1,100 hosts shrinks from 245 kB to 15 kB in 0.35 ms at level 1; level 6
+# takes four times as long for 12 kB.
 _COMPRESSION_LEVEL = 1
 _COMPRESSED_FROM_BYTES = 512  # shorter records gain little
 _ZLIB_FIRST_BYTE = b"x"  # JSON text starts with a brace
@@ -44,25 +44,25 @@
 
 
 def encode_record(record: base.Record) -> bytes:
-    """Return the record as compact JSON, without fields at their default of None.
+    """Return the record as compact JSON, without fields that are None.
 
     Longer records are compressed with zlib. Snapshot chunks are not: their data is
-    compressed already, and their text is searched for in the log.
+    already compressed, and the follower searches the log for their text.
     """
     text = record.model_dump_json(exclude_none=True).encode()
     is_chunk = isinstance(record, fleet_messages.SnapshotChunk)
-    # A record over the limit stays as it is, so that its size is seen before an append.
+    # A record over the limit is not compressed, so that the appender refuses it.
     if is_chunk or not _COMPRESSED_FROM_BYTES <= len(text) <= MAX_RECORD_BYTES:
         return text
     return zlib.compress(text, _COMPRESSION_LEVEL)
 
 
 def _decompress(payload: bytes) -> bytes:
-    """Return the text of a compressed record, of bounded size."""
+    """Return the text of a compressed record, at most one byte over the limit."""
     decompressor = zlib.decompressobj()
     text = decompressor.decompress(payload, MAX_RECORD_BYTES + 1)
     if not decompressor.eof and len(text) <= MAX_RECORD_BYTES:
-        raise zlib.error("incomplete or truncated stream")
+        raise zlib.error("compressed stream is truncated")
     return text
 
 
@@ -84,7 +84,7 @@
     if len(payload) > MAX_RECORD_BYTES:
         raise errors.ClementinesparError(
             codes.ResultCode.RECORD_INVALID,
-            f"record of more than {MAX_RECORD_BYTES} bytes",
+            f"record exceeds {MAX_RECORD_BYTES} bytes",
         )
     try:
         return _ADAPTER.validate_json(payload)
--- a/clementinespar/log/relay.py
+++ b/clementinespar/log/relay.py
@@ -1,4 +1,4 @@
-"""The interface through which a node takes log entries from its peers."""
+"""The interface through which a node fetches log entries from its peers."""
 
 from collections.abc import Sequence
 from typing import Protocol
--- a/clementinespar/log/service.py
+++ b/clementinespar/log/service.py
@@ -10,10 +10,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogEntry:
-    """One payload at its place in the log."""
+    """One payload with its position in the log."""
 
-    offset: int  # place in the log, dense and increasing from 0
-    timestamp_ms: int  # append time set by the log, never decreasing with offset
+    offset: int  # position in the log, counted from 0 without gaps
+    timestamp_ms: int  # append time set by the log, never decreases with offset
     payload: bytes  # encoded record
 
 
@@ -23,7 +23,7 @@
 
     entries: tuple[LogEntry, ...]  # in offset order, may be empty
     first_offset: int  # oldest offset that the log still keeps
-    end_offset: int  # offset that the next append will get
+    end_offset: int  # offset of the next entry to be appended
 
 
 class LogService(Protocol):
--- a/clementinespar/log/tests/test_appender.py
+++ b/clementinespar/log/tests/test_appender.py
@@ -24,7 +24,7 @@
     [
         pytest.param(fake_log.Faults(), 1, id="no fault"),
         pytest.param(fake_log.Faults(lose_replies=1), 1, id="reply lost"),
-        # The read-back finds nothing, so the record is appended again; the first
+        # The read-back does not find the record, so it is appended again; the first
         # append takes effect after the second.
         pytest.param(
             fake_log.Faults(lose_replies=1, late_ms=300.0), 2, id="late effect"
@@ -52,8 +52,8 @@
 
 
 def test_lost_reply_is_read_back_before_the_record_is_sent_again() -> None:
-    # Guards against a second append of what the log already has. The follower's task
-    # does not run, so that only the appender's own read shows the record.
+    # Guards against a second append of a record that is in the log. The follower's task
+    # does not run, so that only the appender's own read can find the record.
     async def main() -> None:
         log = fake_log.FakeLog()
         follower = log_follower.Follower(log, None, 1.0)
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize(
     ("faults", "expected"),
     [
-        # Refusals are certain; whatever hangs or loses its reply is not.
+        # A refused call was not appended; a call without a reply may have been.
         pytest.param(fake_log.Faults(down=True), errors.LogUnavailableError, id="down"),
         pytest.param(
             fake_log.Faults(silent=True), errors.LogReplyLostError, id="silent"
@@ -88,7 +88,7 @@
 async def test_failure_says_whether_the_record_may_apply(
     node: Node, faults: fake_log.Faults, expected: type[errors.ClementinesparError]
 ) -> None:
-    # Guards against a record that is reported as not applied and applies later.
+    # Guards against a record that is reported as not applied but applies later.
     log = node.log
     node.access.faults = faults
     with pytest.raises(expected):
@@ -100,8 +100,11 @@
 
 
 @log_nodes.with_nodes("node-a")
-async def test_refusal_after_a_lost_reply_leaves_the_outcome_open(node: Node) -> None:
-    # Guards against a later certain refusal that hides an earlier uncertain append.
+async def test_refusal_after_a_lost_reply_leaves_the_outcome_unknown(
+    node: Node,
+) -> None:
+    # Guards against reporting a record as not appended because its second append was
+    # refused, although the first may have taken effect.
     node.access.faults = fake_log.Faults(lose_replies=1, late_ms=8_000.0)
     append = asyncio.create_task(node.appender.append(node.duty_record("waves"), 5.0))
     await asyncio.sleep(0.01)
@@ -112,7 +115,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_append_survives_a_short_outage(node: Node) -> None:
-    # Guards against giving up while the deadline still allows another attempt.
+    # Guards against failing before the deadline while another attempt is possible.
     log = node.log
     log.faults.down = True
     append = asyncio.create_task(node.appender.append(node.duty_record("waves"), 10.0))
@@ -138,8 +141,8 @@
 
 
 @log_nodes.with_nodes("node-a")
-async def test_silent_call_does_not_hold_up_other_records(node: Node) -> None:
-    # Guards against a connection that went silent and blocks every claim of the node.
+async def test_unresponsive_call_does_not_delay_other_records(node: Node) -> None:
+    # Guards against an unresponsive connection that blocks every claim of the node.
     await node.appender.append(node.duty_record("first"), 1.0)
     node.access.faults.silent = True
     stuck = asyncio.create_task(node.appender.append(node.duty_record("stuck"), 60.0))
@@ -152,8 +155,8 @@
 
 
 @log_nodes.with_nodes("node-a")
-async def test_record_past_the_window_is_not_sent_again(node: Node) -> None:
-    # Guards against a retry whose record id the fold may have forgotten.
+async def test_record_past_the_dedup_window_is_not_sent_again(node: Node) -> None:
+    # Guards against a retry of a record whose id the fold may no longer keep.
     log = node.log
     await node.appender.append(node.duty_record("waves"), 5.0)
     issued_ms = node.appender.now_ms() - fleet_state.DEDUP_WINDOW_MS - 1
@@ -182,7 +185,7 @@
 async def test_node_with_a_wrong_clock(
     node_a: Node, node_b: Node, skew_ms: int, code: codes.ResultCode
 ) -> None:
-    # Guards against a node that is cut off from the log because its clock is behind.
+    # Guards against a node whose records are all refused because its clock is behind.
     log = node_a.log
     await node_a.appender.append(node_a.duty_record("first"), 5.0)
     node_b.appender._wall_ms = lambda: log.now_ms() + skew_ms
--- a/clementinespar/log/tests/test_follower.py
+++ b/clementinespar/log/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""Tests of the follower: outages, peers, lagging copies, snapshots and retention."""
+"""Tests of the follower: outages, peers, old copies, snapshots and retention."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -17,7 +17,7 @@
 
 
 async def append_duties(node: Node, count: int, prefix: str = "") -> None:
-    """Append records one by one, so that each has an offset and time of its own."""
+    """Append records one by one, so that each has its own append time."""
     for i in range(count):
         await node.appender.append(node.duty_record(f"{prefix}{i}"), 5.0)
 
@@ -30,12 +30,12 @@
 
 
 def raise_error(entry: service.LogEntry, code: codes.ResultCode) -> None:
-    raise RuntimeError("fault of a listener")
+    raise RuntimeError("listener error")
 
 
 @log_nodes.with_nodes("node-a")
 async def test_listeners_and_waiters_see_entries_in_order(node: Node) -> None:
-    # Guards against waiters that are left waiting and listeners that miss entries.
+    # Guards against waiters that are never woken and listeners that miss entries.
     log = node.log
     seen: list[tuple[int, codes.ResultCode]] = []
     node.follower.add_listener(lambda e, code: seen.append((e.offset, code)))
@@ -60,17 +60,19 @@
         pytest.param(fake_log.Faults(slow_ms=60_000.0), id="very slow"),
     ],
 )
-@pytest.mark.parametrize(("ring_bytes", "poll_wait_s"), [(10**6, 1.0), (1500, 0.1)])
-def test_peer_relays_what_the_log_does_not_give(
+@pytest.mark.parametrize(
+    ("max_recent_bytes", "poll_wait_s"), [(10**6, 1.0), (1500, 0.1)]
+)
+def test_peer_relays_entries_that_the_log_does_not_provide(
     faults: fake_log.Faults,
-    ring_bytes: int,
+    max_recent_bytes: int,
     poll_wait_s: float,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards against a node that keeps an old document while its peers have a newer
-    # one. A ring of 1500 bytes keeps fewer entries than are missing, so that the node
+    # one. A limit of 1500 bytes keeps fewer entries than are missing, so that the node
     # needs the peer's snapshot.
-    monkeypatch.setattr(log_follower, "_RING_BYTES", ring_bytes)
+    monkeypatch.setattr(log_follower, "_MAX_RECENT_BYTES", max_recent_bytes)
 
     async def main() -> None:
         log = fake_log.FakeLog()
@@ -99,7 +101,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_node_is_ready_only_after_an_answer(node_a: Node) -> None:
-    # Guards against a node that serves from empty memory while others have state.
+    # Guards against a node that serves from an empty state while others have records.
     log = node_a.log
     relay = log_nodes.NodeRelay()
     await append_duties(node_a, 300)
@@ -147,7 +149,7 @@
 
 @pytest.mark.parametrize("damage", ["none", "newest damaged", "newest incomplete"])
 @log_nodes.with_nodes("node-a")
-async def test_start_from_the_newest_sound_snapshot(
+async def test_start_from_the_newest_valid_snapshot(
     node_a: Node, damage: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against a node that cannot start once the first entries have expired, or
@@ -198,7 +200,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_start_without_any_snapshot_waits_for_a_peer(node_a: Node) -> None:
-    # Guards against a state that leaves out expired records.
+    # Guards against a state that lacks the effects of expired records.
     log = node_a.log
     relay = log_nodes.NodeRelay()
     await append_duties(node_a, 30)
@@ -213,8 +215,8 @@
         assert node_b.follower.state == node_a.follower.state
 
 
-def test_state_moves_only_to_a_higher_offset() -> None:
-    # Guards against a peer with an old state that makes a document revert.
+def test_state_is_replaced_only_by_a_higher_offset() -> None:
+    # Guards against a document that reverts because a peer sends an old state.
     class OldRelay(log_nodes.NodeRelay):
         old: tuple[int, bytes] | None = None
 
@@ -241,7 +243,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_entries_after_a_gap_are_not_applied(node_a: Node) -> None:
-    # Guards against a state that leaves out an entry which a peer did not send.
+    # Guards against a state that lacks an entry that a peer did not send.
     class GapRelay(log_nodes.NodeRelay):
         async def fetch_entries(
             self, from_offset: int, limit: int
@@ -260,10 +262,10 @@
 
 
 @log_nodes.with_nodes("node-a")
-async def test_long_log_is_started_from_a_snapshot(
+async def test_start_with_a_long_log_loads_a_snapshot(
     node_a: Node, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a replay of a long log although a snapshot is at hand.
+    # Guards against a replay of a long log although the log has a snapshot.
     log = node_a.log
     monkeypatch.setattr(log_follower, "_MAX_REPLAY_ENTRIES", 20)
 
@@ -279,7 +281,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_refresh_covers_appends_that_were_complete_before(node: Node) -> None:
-    # Guards against a read-back that misses a record, after which it applies twice.
+    # Guards against a read-back that misses a record, which is then appended again.
     log = node.log
     await node.follower.wait_applied(-1)
     payloads = [
@@ -296,7 +298,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_refresh_from_an_old_copy_of_the_log_is_refused(node_a: Node) -> None:
-    # Guards against a host action that is checked against an old state as if fresh.
+    # Guards against a host action that is checked against an old state.
     relay = log_nodes.NodeRelay(node_a)
     async with log_nodes.running_node(node_a.log, "node-b", relay) as node_b:
         await append_duties(node_a, 3)
@@ -314,9 +316,9 @@
 async def test_recent_entries_are_bounded(
     node: Node, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against memory that grows with the log.
+    # Guards against memory use that grows with the log.
     log = node.log
-    monkeypatch.setattr(log_follower, "_RING_BYTES", 2_000)
+    monkeypatch.setattr(log_follower, "_MAX_RECENT_BYTES", 2_000)
 
     await append_duties(node, 50)
     oldest = node.follower.oldest_kept_offset
--- a/clementinespar/log/tests/test_http.py
+++ b/clementinespar/log/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP client against the stand-in; real sockets need a running clock."""
+"""Tests of the HTTP client against the stand-in, with real sockets and real time."""
 
 import asyncio
 import json
@@ -19,8 +19,8 @@
 _ADDRESS = "127.0.0.1"
 
 
-def test_payloads_come_back_unchanged() -> None:
-    # Guards against an encoding that changes payloads that are not text.
+def test_payloads_round_trip_unchanged() -> None:
+    # Guards against an encoding that alters payloads that are not UTF-8 text.
     payloads = [b"{}", "caf\u00e9".encode(), b"\xff\x00\xfe", b""]
 
     async def main() -> None:
@@ -58,12 +58,12 @@
         (fake_log.Faults(silent=True), errors.LogReplyLostError, False),
     ],
 )
-def test_append_errors_tell_whether_it_may_have_taken_effect(
+def test_append_error_says_whether_it_may_have_taken_effect(
     faults: fake_log.Faults,
     expected: type[errors.ClementinesparError],
     is_appended: bool,
 ) -> None:
-    # Guards against a lost reply that is taken for a refusal.
+    # Guards against a lost reply that is reported as a refusal.
     async def main() -> None:
         log = fake_log.FakeLog()
         with log_service.serving(log, _ADDRESS, 0) as port:
@@ -82,8 +82,9 @@
 
 
 @pytest.mark.parametrize("is_backlog_full", [False, True])
-def test_failed_connect_is_certainly_not_sent(is_backlog_full: bool) -> None:
-    # Guards against requests that wait out an outage although nothing was sent.
+def test_failed_connect_is_reported_as_not_sent(is_backlog_full: bool) -> None:
+    # Guards against a failed connect that is reported as an append that may have
+    # taken effect.
     async def main() -> None:
         with socket.socket() as listener:
             listener.bind((_ADDRESS, 0))
@@ -104,9 +105,9 @@
     asyncio.run(main())
 
 
-def test_append_is_not_sent_again_by_the_http_library() -> None:
-    # Guards against libcurl's own second send of a POST on a reused connection, whose
-    # refused connect looks as if nothing had been sent.
+def test_http_library_does_not_resend_an_append() -> None:
+    # Guards against libcurl resending a POST when a reused connection closes: if the
+    # second connect is refused, the error says that nothing was sent.
     async def main() -> None:
         received: list[bytes] = []
         handlers: list[asyncio.Task[None]] = []
@@ -146,7 +147,7 @@
 
 
 def test_node_follows_over_http() -> None:
-    # Guards against a wire format that client and stand-in read differently.
+    # Guards against a wire format that the client and the stand-in parse differently.
     async def main() -> None:
         log = fake_log.FakeLog()
         with log_service.serving(log, _ADDRESS, 0) as port:
@@ -169,7 +170,7 @@
     asyncio.run(main())
 
 
-def test_program_prints_its_port_and_takes_fault_switches() -> None:
+def test_program_prints_its_port_and_accepts_fault_switches() -> None:
     # Guards against a stand-in that the demo and bench cannot start or control.
     with subprocess.Popen(
         [sys.executable, "-m", "standins.log_service", "--retention-entries", "2"],
--- a/clementinespar/log/tests/test_random_faults.py
+++ b/clementinespar/log/tests/test_random_faults.py
@@ -1,4 +1,4 @@
-"""Three nodes under random faults of the log and of each node's way to it."""
+"""Tests of three nodes under random faults of the log and of their access to it."""
 
 import asyncio
 import contextlib
@@ -37,14 +37,14 @@
     """A change of faults after a wait."""
 
     wait_s: float
-    place: int  # number of a node, or _NODE_COUNT for the log itself
+    component: int  # index of a node, or _NODE_COUNT for the log itself
     faults: fake_log.Faults
 
 
 steps = st.builds(
     Step,
     wait_s=st.sampled_from((0.0, 0.01, 0.3, 2.0, 9.0)),
-    place=st.integers(0, _NODE_COUNT),
+    component=st.integers(0, _NODE_COUNT),
     faults=fault_strategy,
 )
 
@@ -52,20 +52,20 @@
 async def claim_all(
     claimer: claims_claimer.Claimer, ids: list[str], runs: dict[str, int]
 ) -> None:
-    """Claim ids in turn, several times each; release every third that is won."""
+    """Claim each id three times; release every third claim that is won."""
     for round_number in range(3):
         for number, request_id in enumerate(ids):
             code = await claimer.claim(request_id, 1.0)
             if code == codes.ResultCode.OK:
                 if (number + round_number) % 3 == 0:
-                    await claimer.release(request_id)  # it certainly did not run
+                    await claimer.release(request_id)  # its request did not run
                 else:
                     runs[request_id] += 1
             await asyncio.sleep(0.2)
 
 
 async def append_all(node: log_nodes.LogNode, outcomes: dict[str, str]) -> None:
-    """Append records and note what the appender says of each."""
+    """Append records and record the outcome that the appender reports for each."""
     for number in range(20):
         record = node.duty_record(f"{node.name}-{number}")
         try:
@@ -78,7 +78,8 @@
         await asyncio.sleep(0.3)
 
 
-async def watch_duty(holders: list[duties_holder.DutyHolder]) -> None:
+async def check_single_holder(holders: list[duties_holder.DutyHolder]) -> None:
+    """Fail as soon as two nodes hold the lease of the duty at once."""
     while True:
         assert sum(holder.is_held for holder in holders) <= 1
         await asyncio.sleep(0.05)
@@ -119,7 +120,7 @@
         ids = [identifiers.new_id(log.now_ms()) for _ in range(_REQUEST_COUNT)]
         runs = dict.fromkeys(ids, 0)
         outcomes: dict[str, str] = {}
-        watch = asyncio.create_task(watch_duty(holders))
+        watch = asyncio.create_task(check_single_holder(holders))
         work = [
             claim_all(
                 claims_claimer.Claimer(node.appender, node.follower, node.name),
@@ -133,18 +134,18 @@
         for step in plan:
             await asyncio.sleep(step.wait_s)
             faults = dataclasses.replace(step.faults)
-            if step.place == _NODE_COUNT:
+            if step.component == _NODE_COUNT:
                 log.faults = faults
             else:
-                nodes[step.place].access.faults = faults
+                nodes[step.component].access.faults = faults
         await asyncio.gather(*running)
         log.faults = fake_log.Faults()
         for node in nodes:
             node.access.faults = fake_log.Faults()
-        await asyncio.sleep(20.0)  # late appends take effect and nodes catch up
+        await asyncio.sleep(20.0)  # delayed appends take effect and the nodes catch up
         assert not watch.done(), "two nodes held the duty"
         watch.cancel()
-        # The holders go on appending, so the nodes are compared at one offset.
+        # The holders keep appending, so the nodes are brought to the same offset first.
         for node in nodes:
             await node.follower.refresh(5.0)
         states = [node.follower.state for node in nodes]
@@ -168,5 +169,5 @@
 )
 @hypothesis.given(st.lists(steps, max_size=12))
 def test_invariants_hold_under_random_faults(plan: list[Step]) -> None:
-    # Guards against faults that are harmless alone and break an invariant together.
+    # Guards against faults that break an invariant only in combination.
     paused_clock.run(run_nodes(plan))
--- a/clementinespar/log/tests/test_record_compression.py
+++ b/clementinespar/log/tests/test_record_compression.py
@@ -35,7 +35,7 @@
             False,
         ),
         (
-            # Their text is searched for in the log.
+            # The follower searches the log for the text of chunks.
             fleet_messages.SnapshotChunk(
                 record_id="r",
                 issued_ms=1,
@@ -51,15 +51,17 @@
         ),
     ],
 )
-def test_records_survive_encoding(record: base.Record, is_compressed: bool) -> None:
-    """Guards against a record that nodes read differently from its author."""
+def test_records_round_trip_through_encoding(
+    record: base.Record, is_compressed: bool
+) -> None:
+    """Guards against a record that other nodes decode differently from its author."""
     payload = records.encode_record(record)
     assert (payload[:1] != b"{") is is_compressed
     assert records.parse_record(payload) == record
 
 
-def test_a_record_over_the_limit_keeps_its_size() -> None:
-    """Guards against an append of a record that every node then refuses."""
+def test_record_over_the_limit_is_not_compressed() -> None:
+    """Guards against appending a record that every node then refuses as too large."""
     payload = records.encode_record(_claims(40_000))
     assert len(payload) > records.MAX_RECORD_BYTES
 
@@ -76,8 +78,8 @@
         b" " * (records.MAX_RECORD_BYTES + 1),
     ],
 )
-def test_bad_payloads_are_refused(payload: bytes) -> None:
-    """Guards against a payload that stops the fold or takes unbounded memory."""
+def test_invalid_payloads_are_refused(payload: bytes) -> None:
+    """Guards against a payload that stops the fold or uses unbounded memory."""
     with pytest.raises(errors.ClementinesparError) as caught:
         records.parse_record(payload)
     assert caught.value.code == codes.ResultCode.RECORD_INVALID
