--- a/clementinespar/fleet/appending.py
+++ b/clementinespar/fleet/appending.py
@@ -7,7 +7,7 @@
 
 
 class RecordAppender(Protocol):
-    """Appends records and returns what the fold made of them."""
+    """Appends records and returns their results."""
 
     def now_ms(self) -> int:
         """Return the time for ``issued_ms`` of a new record."""
@@ -19,8 +19,8 @@
         Raises
         ------
         errors.LogUnavailableError
-            The record was not appended.
+            The record did not and will not take effect.
         errors.LogReplyLostError
-            The record may have been appended.
+            The record may have taken effect or may still take effect.
         """
         ...
--- a/clementinespar/fleet/messages.py
+++ b/clementinespar/fleet/messages.py
@@ -13,7 +13,7 @@
     kind: Literal["snapshot_chunk"] = "snapshot_chunk"
     snapshot_id: str
     as_of_offset: int = pydantic.Field(ge=-1)
-    index: int = pydantic.Field(ge=0)  # from 0
+    index: int = pydantic.Field(ge=0)  # 0 to count - 1
     count: int = pydantic.Field(ge=1, le=4096)
-    data: str  # base85 text of a part of the compressed state
+    data: str  # base85 text of this chunk of the compressed state
     digest: str  # hex SHA-256 of the whole compressed state
--- a/clementinespar/fleet/snapshot.py
+++ b/clementinespar/fleet/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of the folded state: encoding, chunks in the log, rebuild, publication."""
+"""Snapshots of the folded state: encoding, chunks, decoding and publication."""
 
 import asyncio
 import base64
@@ -20,18 +20,18 @@
 
 _log = logbook.Logger("fleet.snapshot")
 
-# Bounds what a damaged or hostile snapshot can make a node allocate. The state of the
-# planned size is a few MB.
+# Bounds the memory that a damaged or malicious snapshot can make a node allocate. The
+# state of a fleet of the planned size is a few MB.
 MAX_STATE_BYTES: Final = 64 * 1024 * 1024
-_CHUNK_BYTES = 240_000  # compressed bytes a chunk; base85 makes 300,000 of them
-_APPEND_TIMEOUT_S = 30.0  # per chunk; an incomplete snapshot is of no use
+_CHUNK_BYTES = 240_000  # compressed bytes per chunk, 300,000 bytes in base85
+_APPEND_TIMEOUT_S = 30.0  # per chunk; an incomplete snapshot is useless
 _CHECK_INTERVAL_S = 1.0  # time between checks whether a snapshot is due
 
-# Claims and results are encoded in parts of this many items, each about 10 ms of work,
-# so that a publisher lets the event loop run in between.
-_PART_ITEMS = 5_000
-# Level 1 takes less than half the time of level 6 for 7% more bytes: the bulk is random
-# ids (measured with 100,000 claims: 80 ms and 4.0 MB against 183 ms and 3.7 MB).
+# Claims and results are encoded in parts of this many items. Encoding a part blocks the
+# event loop for about 10 ms; other tasks run between parts.
+_ITEMS_PER_PART = 5_000
+# Level 1 takes less than half the time of level 6 for 7% more bytes, because most of
+# the data is random ids: 80 ms and 4.0 MB against 183 ms and 3.7 MB for 100,000 claims.
 _COMPRESSION_LEVEL = 1
 
 _STATE_ADAPTER: pydantic.TypeAdapter[state.FleetState] = pydantic.TypeAdapter(
@@ -53,16 +53,17 @@
 def encode_state(fleet: state.FleetState) -> bytes:
     """Return the whole state, compressed.
 
-    The text is one JSON value a line: the state without claims and results, then parts
-    of the claims after ``C`` and parts of the results after ``R``.
+    The text has one JSON value per line: first the state without claims and results,
+    then parts of the claims, prefixed with ``C``, and of the results, with ``R``.
     """
     return b"".join(_encoded_parts(fleet))
 
 
 async def encode_state_in_parts(fleet: state.FleetState) -> bytes:
-    """Return what `encode_state` returns, and let other tasks run meanwhile.
+    """Return what `encode_state` returns, but let other tasks run between parts.
 
-    The result is the state at the time of the call, whatever is applied meanwhile.
+    The result is the state at the time of the call, even if entries are applied during
+    encoding.
     """
     parts = []
     for part in _encoded_parts(fleet):
@@ -72,8 +73,8 @@
 
 
 def _encoded_parts(fleet: state.FleetState) -> Iterator[bytes]:
-    # The first step takes all that may change later: the small rest of the state as
-    # text, and lists of the items, which are frozen.
+    # The first step copies everything that may change later: lists of the claims and
+    # results, whose items are immutable, and the small rest of the state as text.
     claims = list(fleet.claims.claims_by_request_id.items())
     results = list(fleet.results_by_record_id.items())
     rest = dataclasses.replace(
@@ -83,11 +84,13 @@
     )
     compressor = zlib.compressobj(_COMPRESSION_LEVEL)
     yield compressor.compress(_STATE_ADAPTER.dump_json(rest) + b"\n")
-    for start in range(0, len(claims), _PART_ITEMS):
-        text = _CLAIMS_ADAPTER.dump_json(dict(claims[start : start + _PART_ITEMS]))
+    for start in range(0, len(claims), _ITEMS_PER_PART):
+        text = _CLAIMS_ADAPTER.dump_json(dict(claims[start : start + _ITEMS_PER_PART]))
         yield compressor.compress(b"C" + text + b"\n")
-    for start in range(0, len(results), _PART_ITEMS):
-        text = _RESULTS_ADAPTER.dump_json(dict(results[start : start + _PART_ITEMS]))
+    for start in range(0, len(results), _ITEMS_PER_PART):
+        text = _RESULTS_ADAPTER.dump_json(
+            dict(results[start : start + _ITEMS_PER_PART])
+        )
         yield compressor.compress(b"R" + text + b"\n")
     yield compressor.flush()
 
@@ -104,7 +107,7 @@
     try:
         text = decompressor.decompress(data, MAX_STATE_BYTES)
         if not decompressor.eof:
-            raise SnapshotError("the compressed state is cut off or too large")
+            raise SnapshotError("the compressed state is truncated or too large")
         rest, *parts = text.split(b"\n")[:-1]
         fleet = _STATE_ADAPTER.validate_json(rest)
         for part in parts:
@@ -115,7 +118,7 @@
                 results = _RESULTS_ADAPTER.validate_json(part[1:])
                 fleet.results_by_record_id.update(results)
             else:
-                raise SnapshotError("unknown part")
+                raise SnapshotError("a part of the state starts with neither C nor R")
     except (zlib.error, ValueError) as error:
         raise SnapshotError(str(error).splitlines()[0]) from error
     return fleet
@@ -124,7 +127,7 @@
 def make_chunks(
     as_of_offset: int, data: bytes, author: str, issued_ms: int
 ) -> list[messages.SnapshotChunk]:
-    """Split a compressed state into records."""
+    """Split a compressed state into records of one snapshot."""
     snapshot_id = identifiers.new_id(issued_ms)
     digest = hashlib.sha256(data).hexdigest()
     count = max(1, -(-len(data) // _CHUNK_BYTES))
@@ -147,25 +150,27 @@
 
 
 def rebuild(chunks: Iterable[messages.SnapshotChunk]) -> state.FleetState:
-    """Return the state in the chunks of one snapshot.
+    """Return the state that the chunks of one snapshot hold.
 
     Raises
     ------
     SnapshotError
-        A chunk is missing or damaged, or chunks disagree.
+        A chunk is missing or damaged, or chunks are of different snapshots.
     """
     chunks_by_index = {chunk.index: chunk for chunk in chunks}
     if not chunks_by_index:
-        raise SnapshotError("no chunk")
+        raise SnapshotError("the snapshot has no chunks")
     first = next(iter(chunks_by_index.values()))
     if any(
         (chunk.snapshot_id, chunk.as_of_offset, chunk.count, chunk.digest)
         != (first.snapshot_id, first.as_of_offset, first.count, first.digest)
         for chunk in chunks_by_index.values()
     ):
-        raise SnapshotError("chunks of different snapshots")
+        raise SnapshotError("chunks belong to different snapshots")
     if sorted(chunks_by_index) != list(range(first.count)):
-        raise SnapshotError(f"{len(chunks_by_index)} of {first.count} chunks")
+        raise SnapshotError(
+            f"snapshot has {len(chunks_by_index)} of {first.count} chunks"
+        )
     try:
         data = b"".join(
             base64.b85decode(chunks_by_index[index].data)
@@ -174,17 +179,17 @@
     except ValueError as error:
         raise SnapshotError(str(error)) from error
     if hashlib.sha256(data).hexdigest() != first.digest:
-        raise SnapshotError("the digest does not match")
+        raise SnapshotError("the SHA-256 digest of the data does not match")
     fleet = decode_state(data)
     if fleet.offset != first.as_of_offset:
         raise SnapshotError(
-            f"state as of {fleet.offset} in a snapshot as of {first.as_of_offset}"
+            f"state is as of {fleet.offset}, its snapshot as of {first.as_of_offset}"
         )
     return fleet
 
 
 class ChunkCollector:
-    """Collects chunks in any order and yields the states of whole snapshots."""
+    """Collects chunks in any order and returns the states of complete snapshots."""
 
     _chunks_by_snapshot_id: dict[str, dict[int, messages.SnapshotChunk]]
 
@@ -192,7 +197,7 @@
         self._chunks_by_snapshot_id = collections.defaultdict(dict)
 
     def add(self, chunk: messages.SnapshotChunk) -> state.FleetState | None:
-        """Add a chunk and return the state if its snapshot is whole and sound."""
+        """Add a chunk and return the state if its snapshot is complete and valid."""
         chunks = self._chunks_by_snapshot_id[chunk.snapshot_id]
         chunks[chunk.index] = chunk
         if len(chunks) < chunk.count:
@@ -200,25 +205,25 @@
         try:
             return rebuild(chunks.values())
         except SnapshotError as error:
-            _log.warning("snapshot {} is refused: {}", chunk.snapshot_id, error)
+            _log.warning("ignoring invalid snapshot {}: {}", chunk.snapshot_id, error)
             return None
 
 
 class SnapshotPublisher:
-    """Publishes the state into the log before needed records leave retention.
+    """Publishes the state to the log before the records behind it expire.
 
     Parameters
     ----------
     source : source.FleetSource
-        Holder of the folded state.
+        Source of the folded state.
     appender : log_appender.Appender
         Appends the chunks.
     interval_s : float
         Longest log time between snapshots, in seconds; well below the log's retention.
     max_entries : int
-        Most entries between snapshots; well below the log's retention.
+        Largest number of entries between snapshots; well below the log's retention.
     is_active : callable, optional
-        Whether this node is to publish now, for example whether it holds the duty.
+        Whether this node publishes now, such as whether it is the duty's lease holder.
     """
 
     _source: source.FleetSource
@@ -242,20 +247,21 @@
         self._is_active = is_active
 
     def is_due(self) -> bool:
-        """Whether the newest snapshot in the log is too old or too far back."""
+        """Whether the newest snapshot is too old or has too many entries after it."""
         fleet = self._source.state
         newest = fleet.snapshots
         if fleet.offset < 0:
             return False
-        # Chunks do not count as entries, or a large state would be published for ever.
-        # The interval also holds in a log at rest, where the snapshot itself expires.
+        # Chunks do not count as entries; otherwise, a state with more chunks than
+        # `max_entries` would always be due again. The interval also applies to a log
+        # without appends, because the snapshot itself expires from the log.
         return (
             fleet.offset - newest.last_chunk_offset >= self._max_entries
             or self._appender.now_ms() - newest.published_ms >= self._interval_s * 1000
         )
 
     async def publish(self) -> int:
-        """Publish the state of now and return its offset.
+        """Publish the current state and return its offset.
 
         Raises
         ------
--- a/clementinespar/fleet/source.py
+++ b/clementinespar/fleet/source.py
@@ -1,4 +1,4 @@
-"""Access to the newest folded state."""
+"""The interface through which a node reads the newest folded state."""
 
 from typing import Protocol
 
@@ -6,7 +6,7 @@
 
 
 class FleetSource(Protocol):
-    """Holder of the newest folded state of this node.
+    """Provides the newest folded state of this node.
 
     The state object is replaced when a snapshot is loaded, so callers read `state`
     again after every await.
@@ -22,5 +22,5 @@
         ...
 
     async def refresh(self, timeout_s: float) -> bool:
-        """Apply all that the log has now; False if the log did not answer in time."""
+        """Apply everything in the log; return False if it did not answer in time."""
         ...
--- a/clementinespar/fleet/state.py
+++ b/clementinespar/fleet/state.py
@@ -1,8 +1,11 @@
 """The folded state of the fleet.
 
 `apply_entry` is a deterministic function of the state and the entry: it reads no clock,
-no settings and no view of the network. Every node that applies the same entries has the
-same state and gives every record the same result code.
+no settings and nothing of the network. All nodes that apply the same entries have the
+same state and the same result code for every record.
+
+The state has one part per module, such as documents or pools; the fold is the repeated
+application of `apply_entry` from the first entry on.
 """
 
 import collections
@@ -28,22 +31,22 @@
 
 _log = logbook.Logger("fleet.state")
 
-# A record issued earlier than this before its append is refused, so a retry that comes
-# after its id was forgotten cannot apply twice.
+# A record that was issued longer than this before its append is refused, so that a
+# retry cannot apply a second time after its id is no longer kept.
 DEDUP_WINDOW_MS = 120_000
-# Records of authors whose clocks are further ahead are refused. Without this bound, a
-# record issued in the future would outlive the memory of its id and apply twice.
+# Records of authors whose clocks are further ahead are refused. Otherwise, a record
+# issued in the future could be accepted a second time after its id is no longer kept.
 MAX_CLOCK_AHEAD_MS = 60_000
-# Record ids are remembered for this long in log time, which is as long as a record that
-# was accepted could be accepted again. A record that was refused as too far ahead could
-# still be accepted after that, but only once.
+# Record ids are kept for this long in log time, which is the time during which an
+# accepted record could be accepted again. A record that was refused as too far ahead
+# may still be accepted after that, but only once.
 _RESULT_RETENTION_MS = DEDUP_WINDOW_MS + MAX_CLOCK_AHEAD_MS
-_MAX_PENDING_SNAPSHOTS = 4  # snapshots whose chunks are counted at once
+_MAX_PENDING_SNAPSHOTS = 4  # incomplete snapshots whose chunks are counted
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordResult:
-    """What became of a record at its first place in the log."""
+    """Result of a record at its first offset in the log."""
 
     code: codes.ResultCode
     offset: int
@@ -52,12 +55,12 @@
 
 @dataclasses.dataclass(slots=True)
 class SnapshotsState:
-    """Which snapshots are in the log, so that nodes publish no needless ones."""
+    """Snapshots in the log, from which nodes decide whether to publish another."""
 
-    as_of_offset: int = -1  # of the newest whole snapshot
+    as_of_offset: int = -1  # of the newest complete snapshot
     published_ms: int = 0  # log time of the last chunk of that snapshot
     last_chunk_offset: int = -1  # offset of the last chunk of that snapshot
-    # Chunk indexes seen of snapshots that are not whole yet, oldest snapshot first.
+    # Chunk indexes of incomplete snapshots, oldest snapshot first.
     pending_by_snapshot_id: dict[str, list[int]] = dataclasses.field(
         default_factory=dict
     )
@@ -65,7 +68,7 @@
 
 @dataclasses.dataclass(slots=True)
 class FleetState:
-    """Everything that all nodes agree on."""
+    """State on which all nodes agree."""
 
     offset: int = -1  # offset of the last applied entry
     log_time_ms: int = 0  # append time of the last applied entry
@@ -111,13 +114,15 @@
         The entry is not the next one.
     """
     if entry.offset != state.offset + 1:
-        raise ValueError(f"entry {entry.offset} does not follow {state.offset}")
+        raise ValueError(
+            f"entry at offset {entry.offset} does not follow offset {state.offset}"
+        )
     state.offset = entry.offset
     state.log_time_ms = max(state.log_time_ms, entry.timestamp_ms)
     if entry.timestamp_ms < state.log_time_ms:
-        # Slices see one log time that never decreases, even if the log breaks that.
+        # Records see a log time that never decreases, even if the log's own does.
         entry = dataclasses.replace(entry, timestamp_ms=state.log_time_ms)
-    _forget_old_results(state)
+    _expire_results(state)
     claims_state.expire(state.claims, state.log_time_ms)
     try:
         record = records.parse_record(entry.payload)
@@ -135,9 +140,9 @@
         except (MemoryError, RecursionError):
             raise  # depends on this process, so other nodes may have applied the record
         except Exception:
-            # The same fault happens on every node. Raising would stop all of them at
-            # this entry for as long as it is in the log.
-            _log.exception("the fold failed at offset {}", entry.offset)
+            # Every node fails at this entry in the same way. If the error were raised,
+            # none could apply later entries while this one is in the log.
+            _log.exception("applying the record at offset {} failed", entry.offset)
             code = codes.ResultCode.INTERNAL_ERROR
     state.results_by_record_id[record.record_id] = RecordResult(
         code, entry.offset, entry.timestamp_ms
@@ -145,7 +150,7 @@
     return code
 
 
-def _forget_old_results(state: FleetState) -> None:
+def _expire_results(state: FleetState) -> None:
     results = state.results_by_record_id
     oldest_ms = state.log_time_ms - _RESULT_RETENTION_MS
     while results:
@@ -158,7 +163,7 @@
 def _apply_record(
     state: FleetState, record: base.Record, entry: log_service.LogEntry
 ) -> codes.ResultCode:
-    """Dispatch one record to the slice that owns its state."""
+    """Dispatch one record to the module that folds its part of the state."""
     document = state.documents.production
     match record:
         case document_messages.DocumentPublished():
@@ -201,7 +206,7 @@
         case wave_messages.WaveFinished():
             return waves_state.apply_finished(state.waves, record, entry)
         case fleet_messages.SnapshotChunk():
-            return _count_chunk(state.snapshots, record, entry)
+            return _apply_snapshot_chunk(state.snapshots, record, entry)
         case _:
             return codes.ResultCode.RECORD_INVALID
 
@@ -209,17 +214,17 @@
 def _apply_production(
     state: FleetState, document: document_model.Document, entry: log_service.LogEntry
 ) -> None:
-    """Bring hosts and waves in line with a document that came into force."""
+    """Update hosts and waves for a document that came into force in production."""
     pools_state.apply_document(state.pools, document, entry.offset)
     waves_state.apply_document(state.waves, document, entry)
 
 
-def _count_chunk(
+def _apply_snapshot_chunk(
     state: SnapshotsState,
     record: fleet_messages.SnapshotChunk,
     entry: log_service.LogEntry,
 ) -> codes.ResultCode:
-    """Note a snapshot once all its chunks are in the log."""
+    """Count a chunk and record its snapshot once all chunks are in the log."""
     if record.index >= record.count or record.as_of_offset >= entry.offset:
         return codes.ResultCode.RECORD_INVALID
     pending = state.pending_by_snapshot_id
--- a/clementinespar/fleet/tests/test_fold_machine.py
+++ b/clementinespar/fleet/tests/test_fold_machine.py
@@ -1,4 +1,4 @@
-"""State machine of the fold: any order of records, two nodes, snapshots at any cut."""
+"""State machine test of the fold, with two nodes and snapshots at any offset."""
 
 from typing import Any
 
@@ -20,8 +20,8 @@
 _HOSTS = ("h0", "h1", "h2", "h3", "h4")
 _POOLS = ("a", "b")
 
-# Codes of records that the slices never see.
-_REFUSED_UNSEEN = (
+# Codes of records that are refused before the fold dispatches them.
+_REFUSED_BEFORE_DISPATCH = (
     codes.ResultCode.RECORD_DUPLICATE,
     codes.ResultCode.RECORD_INVALID,
     codes.ResultCode.RECORD_TOO_OLD,
@@ -29,7 +29,7 @@
 )
 
 authors = st.sampled_from(("node-a", "node-b", "node-c"))
-# Ages of request ids and records relative to log time, around every limit of the fold.
+# Issue times relative to log time, around every time limit of the fold.
 skews_ms = st.sampled_from(
     (0, -1_000, 1_000, -119_000, -121_000, 59_000, 61_000, -599_000, -601_000)
 )
@@ -56,21 +56,21 @@
 
 
 class FoldMachine(stateful.RuleBasedStateMachine):
-    """Appends records and compares the fold with plain models of the invariants."""
+    """Appends records and compares the fold with simple models of the invariants."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now_ms = _START_MS
         self.entries: list[service.LogEntry] = []
         self.sent: list[base.Record] = []
-        self.first = state.FleetState()  # node that applies at once
+        self.first = state.FleetState()  # node that applies entries at once
         self.second = state.FleetState()  # node that lags and loads snapshots
         self.applied_ids: set[str] = set()
         self.revisions = {"trial": 0, "production": 0}
         self.documents_by_trial_revision: dict[int, model.Document] = {}
         self.request_ids: list[str] = []
         self.winner_by_request_id: dict[str, str] = {}
-        self.lease_by_duty: dict[str, tuple[str, int]] = {}  # holder, end
+        self.lease_by_duty: dict[str, tuple[str, int]] = {}  # lease holder, end
 
     def append_payload(self, payload: bytes) -> codes.ResultCode:
         entry = service.LogEntry(len(self.entries), self.now_ms, payload)
@@ -82,12 +82,12 @@
     def append(self, record: base.Record) -> None:
         self.sent.append(record)
         code = self.append_payload(records.encode_record(record))
-        if code not in _REFUSED_UNSEEN:
+        if code not in _REFUSED_BEFORE_DISPATCH:
             assert record.record_id not in self.applied_ids, "applied twice"
             self.applied_ids.add(record.record_id)
-            self.follow_model(record, code == codes.ResultCode.OK)
+            self.check_models(record, code == codes.ResultCode.OK)
 
-    def send(
+    def append_new(
         self,
         kind: type[base.Record],
         skew_ms: int = 0,
@@ -113,7 +113,7 @@
     @stateful.rule(data=st.data())
     @stateful.precondition(lambda self: self.sent)
     def append_again(self, data: st.DataObject) -> None:
-        """Append a record again, as after a lost reply or by a paused node."""
+        """Append a record again, as after a lost reply or a pause of its node."""
         self.append(data.draw(st.sampled_from(self.sent)))
 
     @stateful.rule(
@@ -125,7 +125,7 @@
     def publish(
         self, environment: str, document: model.Document, stale: int, skew_ms: int
     ) -> None:
-        self.send(
+        self.append_new(
             document_messages.DocumentPublished,
             skew_ms,
             environment=environment,
@@ -137,7 +137,7 @@
     def promote(self, data: st.DataObject, stale: int) -> None:
         known = sorted(self.documents_by_trial_revision)
         revisions = st.sampled_from([0, len(self.entries), *known, *known[-1:]])
-        self.send(
+        self.append_new(
             document_messages.DocumentPromoted,
             trial_revision=data.draw(revisions),
             replaces=max(0, self.revisions["production"] - stale),
@@ -154,15 +154,15 @@
             },
             {"request_id": "no-time", "claim_id": "x"},
         )
-        self.send(claim_messages.RequestClaims, author=author, claims=claims)
+        self.append_new(claim_messages.RequestClaims, author=author, claims=claims)
 
-    @stateful.rule(data=st.data(), is_holder=st.booleans(), author=authors)
+    @stateful.rule(data=st.data(), is_winner=st.booleans(), author=authors)
     @stateful.precondition(lambda self: self.winner_by_request_id)
-    def release(self, data: st.DataObject, is_holder: bool, author: str) -> None:
+    def release(self, data: st.DataObject, is_winner: bool, author: str) -> None:
         request_id = data.draw(st.sampled_from(sorted(self.winner_by_request_id)))
-        claim_id = self.winner_by_request_id[request_id] if is_holder else "another"
+        claim_id = self.winner_by_request_id[request_id] if is_winner else "another"
         claims = ({"request_id": request_id, "claim_id": claim_id},)
-        self.send(claim_messages.RequestReleases, author=author, claims=claims)
+        self.append_new(claim_messages.RequestReleases, author=author, claims=claims)
 
     @stateful.rule(
         duty=st.sampled_from(("waves", "capacity")),
@@ -171,9 +171,9 @@
     )
     def change_duty(self, duty: str, lease_ms: int | None, author: str) -> None:
         if lease_ms is None:
-            self.send(duty_messages.DutyReleased, author=author, duty=duty)
+            self.append_new(duty_messages.DutyReleased, author=author, duty=duty)
         else:
-            self.send(
+            self.append_new(
                 duty_messages.DutyClaimed, author=author, duty=duty, lease_ms=lease_ms
             )
 
@@ -193,7 +193,7 @@
         reason=st.sampled_from(("move", "maintenance")),
     )
     def change_host(self, host_id: str, kind: type[base.Record], reason: str) -> None:
-        """Send a record whose fields fit the state as far as possible."""
+        """Append a record whose fields match the state as far as possible."""
         host = self.first.pools.hosts_by_id.get(host_id)
         wave = self.first.waves.waves_by_pool.get("a")
         fields: dict[str, Any] = {
@@ -208,7 +208,9 @@
             "operation_id": host.out.operation_id if host and host.out else "none",
             "host_ids": ("h0", "h1"),
         }
-        self.send(kind, **{k: v for k, v in fields.items() if k in kind.model_fields})
+        self.append_new(
+            kind, **{k: v for k, v in fields.items() if k in kind.model_fields}
+        )
 
     @stateful.rule(count=st.integers(1, 20))
     def let_second_catch_up(self, count: int) -> None:
@@ -222,8 +224,8 @@
         chunks = snapshot.make_chunks(self.first.offset, data, "a", self.now_ms)
         self.second = snapshot.rebuild(chunks)
 
-    def follow_model(self, record: base.Record, is_ok: bool) -> None:
-        """Check the result of a record against the model and follow it."""
+    def check_models(self, record: base.Record, is_ok: bool) -> None:
+        """Check the result of a record against the models and update them."""
         match record:
             case document_messages.DocumentPublished():
                 assert is_ok == (record.replaces == self.revisions[record.environment])
@@ -242,9 +244,11 @@
                     assert self.first.documents.production == trial
             case claim_messages.RequestClaims():
                 claim = record.claims[0]
-                held = self.first.claims.claims_by_request_id.get(claim.request_id)
-                if held is not None and held.claim_id == claim.claim_id:
-                    # A winner that is not released may have run its request, for ever.
+                stored_claim = self.first.claims.claims_by_request_id.get(
+                    claim.request_id
+                )
+                if stored_claim is not None and stored_claim.claim_id == claim.claim_id:
+                    # Until it is released, a winner may have run its request.
                     winner = self.winner_by_request_id.setdefault(
                         claim.request_id, claim.claim_id
                     )
@@ -274,14 +278,14 @@
 
     @stateful.invariant()
     def claims_expire(self) -> None:
-        # Guards against memory that grows for ever: a claim goes at the latest 660 s
-        # after its append, and its id was at most 600 s old then.
+        # Guards against unbounded memory: a claim expires at the latest 660 s after its
+        # append, when its id was at most 600 s old.
         oldest_ms = self.first.log_time_ms - 600_000 - 660_000
-        for held in self.first.claims.claims_by_request_id.values():
-            assert held.issued_ms >= oldest_ms
+        for stored_claim in self.first.claims.claims_by_request_id.values():
+            assert stored_claim.issued_ms >= oldest_ms
 
     def teardown(self) -> None:
-        """Compare with a node that folds everything from the start."""
+        """Compare with a node that folds all entries from the start."""
         fresh = state.FleetState()
         for entry in self.entries:
             state.apply_entry(fresh, entry)
--- a/clementinespar/fleet/tests/test_snapshot.py
+++ b/clementinespar/fleet/tests/test_snapshot.py
@@ -36,22 +36,22 @@
 
 
 @pytest.mark.parametrize("count", [0, 1, 2, 3, 7])
-def test_state_comes_back_from_parts(
+def test_state_round_trips_through_parts(
     count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against parts that are lost or doubled at their borders.
-    monkeypatch.setattr(snapshot, "_PART_ITEMS", 3)
+    # Guards against items that are lost or duplicated at the boundaries of parts.
+    monkeypatch.setattr(snapshot, "_ITEMS_PER_PART", 3)
     fleet = make_state(count)
     data = snapshot.encode_state(fleet)
     assert snapshot.decode_state(data) == fleet
     assert asyncio.run(snapshot.encode_state_in_parts(fleet)) == data
 
 
-def test_encoding_in_parts_gives_the_state_of_its_start(
+def test_encoding_in_parts_returns_the_state_at_its_start(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a snapshot that mixes two offsets.
-    monkeypatch.setattr(snapshot, "_PART_ITEMS", 3)
+    # Guards against a snapshot that mixes the states of two offsets.
+    monkeypatch.setattr(snapshot, "_ITEMS_PER_PART", 3)
 
     async def main() -> None:
         fleet = make_state(10)
@@ -65,18 +65,18 @@
     paused_clock.run(main())
 
 
-def chunks_of(count: int) -> list[messages.SnapshotChunk]:
+def make_chunks_of_state(count: int) -> list[messages.SnapshotChunk]:
     fleet = make_state(count)
     data = snapshot.encode_state(fleet)
     return snapshot.make_chunks(fleet.offset, data, "node-a", _START_MS)
 
 
-def test_only_whole_and_sound_snapshots_are_rebuilt(
+def test_only_complete_and_valid_snapshots_are_rebuilt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a node that starts from a state that no node ever had.
+    # Guards against a node that starts from a state that differs from the fold.
     monkeypatch.setattr(snapshot, "_CHUNK_BYTES", 300)
-    chunks, others = chunks_of(20), chunks_of(20)
+    chunks, others = make_chunks_of_state(20), make_chunks_of_state(20)
     assert len(chunks) > 3
     swapped = chunks[0].model_copy(update={"data": chunks[1].data})
     empty = messages.SnapshotChunk.model_validate(
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("cut", [0, 1, 50, -1])
 def test_damaged_data_is_refused(cut: int) -> None:
-    # Guards against a peer's damaged state, which has no chunks around it.
+    # Guards against a damaged state from a peer, which comes without a digest.
     data = snapshot.encode_state(make_state(3))
     with pytest.raises(snapshot.SnapshotError):
         snapshot.decode_state(data[:cut])
@@ -111,15 +111,15 @@
 def test_data_that_expands_without_bound_is_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a small snapshot that takes all memory of a node.
+    # Guards against a small snapshot that exhausts the memory of a node.
     monkeypatch.setattr(snapshot, "MAX_STATE_BYTES", 500)
     with pytest.raises(snapshot.SnapshotError):
         snapshot.decode_state(snapshot.encode_state(make_state(50)))
 
 
 def test_publisher_keeps_a_continuable_snapshot_in_a_short_log() -> None:
-    # Guards against records that leave retention before a snapshot covers them, and
-    # against several nodes that publish the same snapshot.
+    # Guards against records that expire before a snapshot covers them, and against
+    # several nodes that publish the same snapshot.
     async def main() -> None:
         log = fake_log.FakeLog(retention_entries=100)
         async with (
@@ -141,7 +141,7 @@
                 assert node_c.follower.state == node_a.follower.state
             # 200 records at one snapshot per 30 entries.
             assert 6 <= log.end_offset - 200 <= 8
-            # At rest, records and snapshots still leave retention by age.
+            # Without appends, records and snapshots still expire by age.
             log.retention_ms = 400_000
             await asyncio.sleep(3_000.0)
             async with log_nodes.running_node(log, "node-c") as node_c:
@@ -153,8 +153,8 @@
 
 
 @log_nodes.with_nodes("node-a")
-async def test_publisher_goes_on_after_an_outage(node: Node) -> None:
-    # Guards against a publisher that ends at its first failure.
+async def test_publisher_continues_after_an_outage(node: Node) -> None:
+    # Guards against a publisher that stops at its first failure.
     log = node.log
     await node.appender.append(node.duty_record("waves"), 5.0)
     publisher = snapshot.SnapshotPublisher(node.follower, node.appender, 300.0, 30)
--- a/clementinespar/fleet/tests/test_state.py
+++ b/clementinespar/fleet/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Tests of the fold at the limits of its time windows."""
+"""Tests of the fold at the bounds of its time windows and after errors."""
 
 import pytest
 
@@ -56,23 +56,23 @@
 def test_no_record_applies_twice_at_any_age(
     issued_ms: int, first_code: codes.ResultCode
 ) -> None:
-    # Guards against a late retry that passes after the id of the record is forgotten.
+    # Guards against a late retry that applies again once the record's id is not kept.
     for retry_ms in (0, 119_999, 120_001, 179_999, 180_000, 180_001, 240_000, 600_000):
         fleet = state.FleetState()
         record = duty_claim(issued_ms)
         assert fold(fleet, 0, record) == first_code
         assert fleet.results_by_record_id["r"].code == first_code
         fold(fleet, retry_ms, duty_claim(retry_ms, record_id="other"))
-        is_forgotten = retry_ms > 180_000
-        assert ("r" not in fleet.results_by_record_id) == is_forgotten
+        is_id_expired = retry_ms > 180_000
+        assert ("r" not in fleet.results_by_record_id) == is_id_expired
         retries = [fold(fleet, retry_ms, record) for _ in range(2)]
         assert [first_code, *retries].count(OK) <= 1
-        if not is_forgotten:
+        if not is_id_expired:
             assert retries[0] == codes.ResultCode.RECORD_DUPLICATE
 
 
 def test_log_time_seen_by_records_never_decreases() -> None:
-    # Guards against a second lease or claim that wins because the log's time went back.
+    # Guards against a second lease or claim that is granted as log time decreases.
     fleet = state.FleetState()
     fold(fleet, 0, duty_claim(0, record_id="first"))
     fold(fleet, 5_000, duty_claim(5_000, "node-b", "second"))
@@ -89,7 +89,7 @@
 def test_lease_ends_when_log_time_reaches_its_end(
     at_ms: int, code: codes.ResultCode
 ) -> None:
-    # Guards against a lease of one more millisecond than its holder counts on.
+    # Guards against a lease that ends a millisecond later than its holder computes.
     fleet = state.FleetState()
     fold(fleet, 0, duty_claim(0, record_id="first"))
     assert fold(fleet, at_ms, duty_claim(at_ms, "node-b", "second")) == code
@@ -100,30 +100,30 @@
 def test_request_is_claimed_once_across_expiry(
     retry_ms: int, request_issued_ms: int
 ) -> None:
-    # Guards against a repeated request that wins again after its claim has expired.
+    # Guards against a repeated request that is claimed again after its claim expired.
     fleet = state.FleetState()
     fold(fleet, 0, request_claim(request_issued_ms, "first", 0))
     request_id = f"{_START_MS + request_issued_ms}-request"
     assert fleet.claims.claims_by_request_id[request_id].claim_id == "first"
     fold(fleet, retry_ms, request_claim(request_issued_ms, "second", retry_ms))
-    held = fleet.claims.claims_by_request_id.get(request_id)
-    assert held is None or held.claim_id == "first"
+    stored_claim = fleet.claims.claims_by_request_id.get(request_id)
+    assert stored_claim is None or stored_claim.claim_id == "first"
     is_expired = retry_ms > request_issued_ms + 600_000
-    assert (held is None) == is_expired
+    assert (stored_claim is None) == is_expired
 
 
 @pytest.mark.parametrize("request_issued_ms", [-600_001, 60_001])
 def test_request_ids_out_of_range_cannot_be_claimed(request_issued_ms: int) -> None:
-    # Guards against claims that would have to be kept for longer than they are.
+    # Guards against claims on ids that could be claimed again after they expire.
     fleet = state.FleetState()
     fold(fleet, 0, request_claim(request_issued_ms, "first", 0))
     assert not fleet.claims.claims_by_request_id
 
 
-def test_fault_of_one_record_does_not_stop_the_fold(
+def test_error_in_one_record_does_not_stop_the_fold(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against an entry at which every node stops for ever.
+    # Guards against an entry at which the fold of every node stops permanently.
     fleet = state.FleetState()
     with monkeypatch.context() as patch:
         patch.setattr(
@@ -147,6 +147,6 @@
         ("9" * 5_000 + "-x", None),  # int() raises ValueError on this many digits
     ],
 )
-def test_time_of_issue_in_identifiers(identifier: str, issued_ms: int | None) -> None:
-    # Guards against an id from a caller that raises instead of being refused.
+def test_issue_time_in_identifiers(identifier: str, issued_ms: int | None) -> None:
+    # Guards against a caller's id that raises an exception instead of being refused.
     assert identifiers.parse_issued_ms(identifier) == issued_ms
--- a/clementinespar/log/follower.py
+++ b/clementinespar/log/follower.py
@@ -286,7 +286,7 @@
                 return False
             loaded = fleet_snapshot.decode_state(fetched[1])
         except errors.ClementinesparError as error:
-            _log.warning("no peer provided a valid snapshot: {}", error)
+            _log.warning("loading a snapshot from peers failed: {}", error)
             return False
         return self._load(loaded, "a peer")
 
