--- a/clementinespar/documents/__init__.py
+++ b/clementinespar/documents/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' documents: model, publication and promotion."""
+"""Operators' documents: model, checks, publication and promotion."""
--- a/clementinespar/documents/checks.py
+++ b/clementinespar/documents/checks.py
@@ -1,8 +1,8 @@
 """Checks of a document for an operator's likely mistakes.
 
-The document model refuses what no node could act on, and it is part of the fold of the
-log: a document that one version accepted must stay valid in later versions. The checks
-here run only before publication, so they may become stricter from version to version.
+The document model rejects what no node could act on. It is part of the fold of the log,
+so a document that one version accepted must stay valid in later versions. The checks
+here run only before publication and may therefore become stricter in later versions.
 """
 
 from collections.abc import Iterator
@@ -10,8 +10,8 @@
 from clementinespar.documents import model
 
 
-def operator_problems(document: model.Document) -> list[model.Problem]:
-    """Return everything that is valid but cannot be meant."""
+def find_likely_mistakes(document: model.Document) -> list[model.Problem]:
+    """Return problems that the model accepts but that are likely mistakes."""
     return [
         *_maintenance_problems(document),
         *_capacity_problems(document),
@@ -19,14 +19,14 @@
     ]
 
 
-def most_hosts_out(document: model.Document, pool_name: str) -> int:
-    """Return how many hosts of a full pool its budget lets out at once."""
+def max_hosts_out(document: model.Document, pool_name: str) -> int:
+    """Return how many hosts of a complete pool its budget allows out at once."""
     pool = document.pools[pool_name]
     count_by_rack: dict[tuple[str, str], int] = {}
     for host_id in pool.host_ids:
         host = document.hosts[host_id]
-        place = (host.data_centre, host.rack)
-        count_by_rack[place] = count_by_rack.get(place, 0) + 1
+        rack_key = (host.data_centre, host.rack)
+        count_by_rack[rack_key] = count_by_rack.get(rack_key, 0) + 1
     out_by_data_centre: dict[str, int] = {}
     for (data_centre, _), count in count_by_rack.items():
         out_by_data_centre[data_centre] = out_by_data_centre.get(data_centre, 0) + min(
@@ -43,21 +43,21 @@
     if document.maintenance.paused:
         return
     for name, pool in document.pools.items():
-        if pool.host_ids and most_hosts_out(document, name) == 0:
+        if pool.host_ids and max_hosts_out(document, name) == 0:
             yield model.Problem(
                 f"pools.{name}.budget.min_available",
                 str(pool.budget.min_available),
-                f"fewer than the pool's {len(pool.host_ids)} hosts; none could ever be "
-                "maintained (or set maintenance.paused)",
+                f"fewer than the pool's {len(pool.host_ids)} hosts; otherwise none can "
+                "be taken out for maintenance (or set maintenance.paused)",
             )
-    # A wave takes its hosts out one after the other within the budget, so it may have
-    # more hosts than may be out at once.
+    # A wave takes its hosts out one by one within the budget, so it may include more
+    # hosts than may be out at once.
     largest = max((len(pool.host_ids) for pool in document.pools.values()), default=0)
     if 0 < largest < document.maintenance.max_wave_hosts:
         yield model.Problem(
             "maintenance.max_wave_hosts",
             str(document.maintenance.max_wave_hosts),
-            f"at most {largest}, the hosts of the largest pool",
+            f"at most {largest}, the number of hosts in the largest pool",
         )
 
 
@@ -67,13 +67,13 @@
             yield model.Problem(
                 f"pools.{name}.max_hosts",
                 str(pool.max_hosts),
-                f"at least the pool's own {len(pool.host_ids)} hosts",
+                f"at least {len(pool.host_ids)}, the number of hosts of the pool",
             )
         if 0 < len(pool.host_ids) < pool.min_hosts:
             yield model.Problem(
                 f"pools.{name}.min_hosts",
                 str(pool.min_hosts),
-                f"at most the pool's own {len(pool.host_ids)} hosts",
+                f"at most {len(pool.host_ids)}, the number of hosts of the pool",
             )
 
 
--- a/clementinespar/documents/difference.py
+++ b/clementinespar/documents/difference.py
@@ -8,7 +8,7 @@
 from clementinespar.documents import model
 from clementinespar.documents import state as documents_state
 
-Plain = object  # plain JSON value
+JsonValue = object
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostRehomed:
-    """A host whose home is another pool."""
+    """A host whose home pool differs."""
 
     host_id: str
     from_pool: str
@@ -77,11 +77,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ValueChanged:
-    """A value that differs."""
+    """A value that differs between the documents."""
 
     location: str
-    old: Plain
-    new: Plain
+    old: JsonValue
+    new: JsonValue
 
     @property
     def line(self) -> str:
@@ -100,7 +100,7 @@
     The order of hosts within a pool has no meaning and is not a change.
     """
     changes: list[Change] = list(_host_changes(old, new))
-    changes.extend(_value_changes("", _plain(old), _plain(new)))
+    changes.extend(_value_changes("", _dump_values(old), _dump_values(new)))
     return changes
 
 
@@ -117,28 +117,28 @@
             yield HostRehomed(host_id, before, after)
 
 
-def _plain(document: model.Document) -> dict[str, Plain]:
-    """Return the values of a document without what `_host_changes` compares."""
-    values: dict[str, Plain] = _ADAPTER.dump_python(
+def _dump_values(document: model.Document) -> dict[str, JsonValue]:
+    """Return the values of a document except those that `_host_changes` compares."""
+    values: dict[str, JsonValue] = _ADAPTER.dump_python(
         document, mode="json", exclude={"pools": {"__all__": {"host_ids"}}}
     )
     return values
 
 
 def _value_changes(
-    location: str, old: Mapping[str, Plain], new: Mapping[str, Plain]
+    location: str, old: Mapping[str, JsonValue], new: Mapping[str, JsonValue]
 ) -> Iterator[Change]:
     for key in sorted(old.keys() | new.keys()):
-        place = f"{location}.{key}" if location else key
+        child_location = f"{location}.{key}" if location else key
         before, after = old.get(key), new.get(key)
         is_host = location == "hosts" and (before is None or after is None)
         if is_host or before == after:
-            continue  # hosts that come and go are in `_host_changes`
+            continue  # `_host_changes` reports added and removed hosts
         if isinstance(before, dict) and isinstance(after, dict):
-            yield from _value_changes(place, before, after)
+            yield from _value_changes(child_location, before, after)
         elif isinstance(before, dict):
-            yield ItemRemoved(place)
+            yield ItemRemoved(child_location)
         elif isinstance(after, dict):
-            yield ItemAdded(place)
+            yield ItemAdded(child_location)
         else:
-            yield ValueChanged(place, before, after)
+            yield ValueChanged(child_location, before, after)
--- a/clementinespar/documents/loading.py
+++ b/clementinespar/documents/loading.py
@@ -9,23 +9,24 @@
 from clementinespar import codes, errors
 from clementinespar.documents import checks, model
 
-# A document is one record of the log; its JSON stays below the limit of a record.
+# A document is published in one record of the log, so its JSON must stay below the size
+# limit of a record.
 MAX_DOCUMENT_BYTES = 900_000
 
 
 class DocumentError(errors.ClementinesparError):
-    """One thing in a document that is not valid."""
+    """One value in a document that is not valid."""
 
-    location: str  # dotted path in the document, empty when the whole is meant
-    value: str  # value as written, empty when it is missing or not a plain value
+    location: str  # dotted path; empty for the document as a whole
+    value: str  # value as written, empty if it is missing or not a scalar
     expected: str  # what would be valid
 
     def __init__(
         self, code: codes.ResultCode, location: str, value: str, expected: str
     ) -> None:
-        place = location or "document"
-        shown = f" = {value!r}" if value else ""
-        super().__init__(code, f"{place}{shown}: {expected}")
+        shown_location = location or "document"
+        shown_value = f" = {value!r}" if value else ""
+        super().__init__(code, f"{shown_location}{shown_value}: {expected}")
         self.location = location
         self.value = value
         self.expected = expected
@@ -70,14 +71,14 @@
 
 
 def parse_document(values: object, name: str) -> model.Document:
-    """Check the values of a document that has been read.
+    """Build and check a document from its parsed values.
 
     Parameters
     ----------
     values : object
-        Plain values, as TOML or JSON give them.
+        Values as a TOML or JSON parser returns them.
     name : str
-        Name for the message of the exception group.
+        Name of the document in the message of the exception group.
 
     Raises
     ------
@@ -98,7 +99,7 @@
             problem.value,
             problem.expected,
         )
-        for problem in checks.operator_problems(document)
+        for problem in checks.find_likely_mistakes(document)
     ]
     size = len(_ADAPTER.dump_json(document))
     if size > MAX_DOCUMENT_BYTES:
@@ -109,7 +110,7 @@
 
 
 def parse_in_force(values: object) -> model.Document:
-    """Return a document that a node has in force, without the operator's checks.
+    """Return a document that a node has in force, without the operator checks.
 
     Raises
     ------
@@ -147,7 +148,7 @@
 
 
 def _document_errors(detail: pydantic_core.ErrorDetails) -> list[DocumentError]:
-    """Return the problems in one pydantic error, which may carry several."""
+    """Return the problems in one pydantic error; a reference error has several."""
     context = detail.get("ctx", {})
     if detail["type"] == model.REFERENCE_ERROR:
         return [
--- a/clementinespar/documents/model.py
+++ b/clementinespar/documents/model.py
@@ -1,7 +1,7 @@
 """The model of an operator's document, read from TOML.
 
-The document of an environment names hosts, pools, services, teams, maintenance and the
-weights of the user's measures.
+The document of an environment declares hosts, pools, services, teams, maintenance and
+the weights of the user's measures.
 """
 
 import dataclasses
@@ -14,9 +14,9 @@
 import pydantic_core
 
 _MAX_DEADLINE_MS = 600_000
-_MAX_INTERVAL_DAYS = 3_650.0  # planners compute with the interval in milliseconds
-_MAX_RATIO = 4.0  # keeps an extreme weight from switching a decision off
-# Names appear in paths of HTTP requests, in metrics and in tables.
+_MAX_INTERVAL_DAYS = 3_650.0  # planners convert the interval to milliseconds
+_MAX_RATIO = 4.0  # keeps an extreme weight from disabling a decision
+# Names appear in the paths of HTTP requests, in metric labels and in tables.
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
 _NAME_EXPECTED = "a name of at most 63 letters, digits, '.', '_' or '-'"
 
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing in a document that does not fit the rest of it."""
+    """One value in a document that is inconsistent with the rest of it."""
 
     location: str  # dotted path in the document
     value: str  # value as written
@@ -37,7 +37,8 @@
 
 _CONFIG = pydantic.ConfigDict(extra="forbid")
 
-# Infinity has no place in JSON, and the quotient of two would not be a number.
+# Bounded, because JSON cannot represent infinity and the ratio of two infinite weights
+# is not a number.
 Weight = Annotated[float, pydantic.Field(ge=0.0, le=1_000.0)]
 
 Measure = Literal["short_wait", "buffer_cost", "moves", "roll_out"]
@@ -61,9 +62,9 @@
     host_ids: tuple[str, ...]
     budget: Budget
     spare: bool = False  # hosts of the spare pool are lent first
-    # Share of each target's slots that services which borrow from this pool may use.
+    # Fraction of each target's slots that services borrowing from this pool may use.
     lend_share: float = pydantic.Field(default=0.75, ge=0.0, le=1.0)
-    min_hosts: int = pydantic.Field(default=1, ge=0)  # capacity never goes below
+    min_hosts: int = pydantic.Field(default=1, ge=0)  # lower bound of capacity
     max_hosts: int = pydantic.Field(default=10_000, ge=1)
 
 
@@ -80,7 +81,7 @@
     """A service that runs on the hosts of one pool."""
 
     pool: str
-    borrows_from: str | None = None  # pool whose idle slots serve the peaks as well
+    borrows_from: str | None = None  # pool whose idle slots also serve peaks
     slots_per_target: int = pydantic.Field(default=8, ge=1, le=1024)
     connections_per_target: int = pydantic.Field(default=64, ge=1, le=4096)
     default_deadline_ms: int = pydantic.Field(default=10_000, ge=1, le=_MAX_DEADLINE_MS)
@@ -88,7 +89,7 @@
     max_queue: int = pydantic.Field(default=2_000, ge=0, le=100_000)
     short_run_ms: int = pydantic.Field(
         default=250, ge=1, le=_MAX_DEADLINE_MS
-    )  # longer work is long
+    )  # requests that run longer count as long
     short_reserve: float = pydantic.Field(default=0.5, ge=0.0, lt=1.0)
     kinds: dict[str, Kind] = dataclasses.field(default_factory=dict)
 
@@ -131,7 +132,7 @@
 
 @pydantic.dataclasses.dataclass(frozen=True, slots=True, config=_CONFIG)
 class Host:
-    """A host with its place; declared so that budgets never rest on the host list."""
+    """Location of a host; declared so that budgets do not depend on the host list."""
 
     data_centre: str
     rack: str
@@ -152,15 +153,15 @@
     def queue_group(self, service: str) -> str:
         """Return the key of the services whose queues one node owns together.
 
-        Slots are counted by one node only, so services that may use the same targets
-        have the same owner: those of one pool, and those that borrow from it.
+        Each target's slots are counted by one node, so all services that may use the
+        same targets have the same owner: those of a pool and those that borrow from it.
         """
         declared = self.services.get(service)
         if declared is None:
             return service
         return declared.borrows_from or declared.pool
 
-    def lent_pool(self, service: str) -> str | None:
+    def lender_pool(self, service: str) -> str | None:
         """Return the pool that a service borrows from, if any."""
         declared = self.services.get(service)
         return None if declared is None else declared.borrows_from
@@ -183,7 +184,7 @@
 
 
 def _name_problems(document: Document) -> Iterator[Problem]:
-    """Yield names that paths, metrics or tables could not carry."""
+    """Yield names that are not valid in paths, metrics or tables."""
     for section, names in (
         ("hosts", document.hosts),
         ("pools", document.pools),
@@ -213,29 +214,31 @@
         for host_id in pool.host_ids:
             if host_id not in document.hosts:
                 yield Problem(
-                    f"pools.{pool_name}.host_ids", host_id, "a host named in hosts"
+                    f"pools.{pool_name}.host_ids", host_id, "a host declared in hosts"
                 )
             other = pool_by_host.setdefault(host_id, pool_name)
             if other != pool_name:
                 yield Problem(
                     f"pools.{pool_name}.host_ids",
                     host_id,
-                    f"a host of one pool only; it is also in {other}",
+                    f"a host that is in one pool only; it is also in {other}",
                 )
         if len(set(pool.host_ids)) != len(pool.host_ids):
-            twice = {i for i in pool.host_ids if pool.host_ids.count(i) > 1}
+            duplicates = {i for i in pool.host_ids if pool.host_ids.count(i) > 1}
             yield Problem(
                 f"pools.{pool_name}.host_ids",
-                ", ".join(sorted(twice)),
-                "every host listed once",
+                ", ".join(sorted(duplicates)),
+                "each host listed once",
             )
     for host_id in document.hosts:
         if host_id not in pool_by_host:
-            yield Problem(f"hosts.{host_id}", host_id, "a host that is in a pool")
+            yield Problem(
+                f"hosts.{host_id}", host_id, "a host that is listed in a pool"
+            )
 
 
 def _pool_problems(document: Document) -> Iterator[Problem]:
-    """Yield budgets and bounds that can never hold."""
+    """Yield budgets and bounds that cannot be satisfied."""
     spares = [name for name, pool in document.pools.items() if pool.spare]
     for name in spares[1:]:
         yield Problem(
@@ -283,19 +286,19 @@
             other.pool == lender and other.borrows_from is not None
             for other in document.services.values()
         ):
-            # One node owns the queues of a lender and its borrowers; a chain would join
-            # them all.
+            # One node owns the queues of a lender and its borrowers; a chain of lenders
+            # would put all of their queues on one node.
             yield Problem(
                 f"services.{name}.borrows_from",
                 lender,
                 "a pool whose own services do not borrow",
             )
-        pools_of_lender = {
+        lenders = {
             other.borrows_from
             for other in document.services.values()
             if other.pool == service.pool
         }
-        if len(pools_of_lender) > 1:
+        if len(lenders) > 1:
             yield Problem(
                 f"services.{name}.borrows_from",
                 str(lender),
--- a/clementinespar/documents/state.py
+++ b/clementinespar/documents/state.py
@@ -7,7 +7,7 @@
 from clementinespar.documents import messages, model
 from clementinespar.log import service as log_service
 
-_HISTORY_LENGTH = 50  # publications kept for the operators' history command
+_HISTORY_LENGTH = 50  # publications kept for operators to list
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -22,10 +22,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Publication:
-    """One line of the history of documents."""
+    """One entry of the history of documents."""
 
     environment: messages.Environment
-    revision: int  # revision that this publication made or would have made
+    revision: int  # revision that it created or would have created
     replaces: int  # revision that the operator saw
     author: str
     log_time_ms: int
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(slots=True)
 class DocumentsState:
-    """Documents in force and the recent history."""
+    """Documents in force and their recent publications."""
 
     in_force_by_environment: dict[messages.Environment, DocumentInForce] = (
         dataclasses.field(default_factory=dict)
@@ -66,7 +66,9 @@
         state.in_force_by_environment[record.environment] = DocumentInForce(
             entry.offset + 1, record.author, entry.timestamp_ms, record.document
         )
-    _remember(state, record.environment, record.replaces, record.author, entry, code)
+    _add_publication(
+        state, record.environment, record.replaces, record.author, entry, code
+    )
     return code
 
 
@@ -86,11 +88,11 @@
         state.in_force_by_environment["production"] = DocumentInForce(
             entry.offset + 1, record.author, entry.timestamp_ms, trial.document
         )
-    _remember(state, "production", record.replaces, record.author, entry, code)
+    _add_publication(state, "production", record.replaces, record.author, entry, code)
     return code
 
 
-def _remember(
+def _add_publication(
     state: DocumentsState,
     environment: messages.Environment,
     replaces: int,
--- a/clementinespar/documents/tests/test_difference.py
+++ b/clementinespar/documents/tests/test_difference.py
@@ -15,7 +15,7 @@
 
 @st.composite
 def _documents(draw: st.DrawFn) -> model.Document:
-    """Documents with a few hosts, pools and services."""
+    """Generate documents with a few hosts, pools and services."""
     host_ids = draw(st.lists(st.sampled_from("abcdef"), min_size=1, unique=True))
     homes = {host_id: draw(st.sampled_from("pqr")) for host_id in host_ids}
     pools = {
@@ -45,8 +45,8 @@
 
 @hypothesis.given(_documents())
 @hypothesis.settings(derandomize=True, deadline=None)
-def test_no_change_gives_no_difference(document: model.Document) -> None:
-    """Guards against changes that are shown where nothing changes."""
+def test_equal_documents_have_no_difference(document: model.Document) -> None:
+    """Guards against changes that are reported for equal documents."""
     assert difference.difference(document, document) == []
     same = loading.parse_in_force(loading.dump_document(document))
     assert difference.difference(document, same) == []
@@ -54,7 +54,9 @@
 
 @hypothesis.given(_documents(), _documents())
 @hypothesis.settings(derandomize=True, deadline=None)
-def test_every_change_is_shown_once(old: model.Document, new: model.Document) -> None:
+def test_every_change_is_reported_once(
+    old: model.Document, new: model.Document
+) -> None:
     """Guards against a change that an operator does not see before publishing."""
     changes = difference.difference(old, new)
     lines = [change.line for change in changes]
@@ -72,8 +74,8 @@
     return dataclasses.replace(document, pools=pools)
 
 
-def test_lines_name_what_changes() -> None:
-    """Guards against lines from which an operator cannot tell what happens."""
+def test_lines_describe_the_changes() -> None:
+    """Guards against lines that do not name the changed host or value."""
     barka = _EXAMPLE.pools["barka"]
     dispatch = _EXAMPLE.pools["dispatch"]
     moved = dispatch.host_ids[0]
--- a/clementinespar/documents/tests/test_loading.py
+++ b/clementinespar/documents/tests/test_loading.py
@@ -13,7 +13,7 @@
 from clementinespar.documents import loading
 
 _EXAMPLES = pathlib.Path(__file__).parents[3] / "examples"
-_C = codes.ResultCode
+_ResultCode = codes.ResultCode
 
 
 def _values() -> dict[str, Any]:
@@ -33,17 +33,17 @@
 
 
 def _changed(changes: dict[str, Any]) -> dict[str, Any]:
-    """Return the valid values with changes by dotted path; None removes a value."""
+    """Return valid values with changes by dotted path; None removes a value."""
     values = copy.deepcopy(_values())
     for path, value in changes.items():
         *parents, last = path.split(".")
-        place = values
+        table = values
         for parent in parents:
-            place = place.setdefault(parent, {})
+            table = table.setdefault(parent, {})
         if value is None:
-            del place[last]
+            del table[last]
         else:
-            place[last] = value
+            table[last] = value
     return values
 
 
@@ -58,8 +58,8 @@
     return found
 
 
-def test_valid_values_are_a_document() -> None:
-    """Guards against checks that refuse a plain document."""
+def test_valid_values_are_accepted() -> None:
+    """Guards against checks that reject a valid document."""
     assert loading.parse_document(_values(), "document").user == "u"
 
 
@@ -107,24 +107,24 @@
         ({"services.s.max_queue": 10**9}, "services.s.max_queue"),
     ],
 )
-def test_each_problem_is_named_with_its_place(
+def test_each_problem_is_reported_at_its_location(
     changes: dict[str, Any], location: str
 ) -> None:
-    """Guards against an operator's mistake passing or being reported elsewhere."""
+    """Guards against a mistake that is accepted or reported at another location."""
     problems = _problems(_changed(changes))
-    assert [p.code for p in problems] == [_C.DOCUMENT_INVALID] * len(problems)
+    assert [p.code for p in problems] == [_ResultCode.DOCUMENT_INVALID] * len(problems)
     assert {p.location for p in problems} == {location}
 
 
 def test_pool_without_maintenance_needs_maintenance_paused() -> None:
-    """Guards against a pool whose hosts could never be maintained passing unseen."""
+    """Guards against accepting a pool whose hosts can never be taken out."""
     changes: dict[str, Any] = {"pools.p.budget.min_available": 2}
     _problems(_changed(changes))
     loading.parse_document(_changed(changes | {"maintenance.paused": True}), "document")
 
 
 def test_all_problems_are_reported_at_once() -> None:
-    """Guards against an operator having to correct one reference after the other."""
+    """Guards against reporting only the first of several wrong references."""
     problems = _problems(
         _changed(
             {
@@ -155,24 +155,26 @@
     ),
     max_leaves=6,
 )
-_PLACES = ["user", "hosts", "hosts.h0", "hosts.h0.rack", "pools.p.host_ids"] + [
+_LOCATIONS = ["user", "hosts", "hosts.h0", "hosts.h0.rack", "pools.p.host_ids"] + [
     *("pools.p.budget", "pools.q.min_hosts", "services.s.kinds", "services.s.pool"),
     *("services.s", "teams", "maintenance", "weights.moves", "weights"),
 ]
 
 
-@hypothesis.given(st.dictionaries(st.sampled_from(_PLACES), _PLAIN_VALUES, max_size=3))
+@hypothesis.given(
+    st.dictionaries(st.sampled_from(_LOCATIONS), _PLAIN_VALUES, max_size=3)
+)
 @hypothesis.settings(derandomize=True, deadline=None)
-def test_odd_values_give_problems_and_nothing_else(changes: dict[str, Any]) -> None:
-    """Guards against a traceback, or a document that JSON cannot carry."""
+def test_unexpected_values_raise_only_document_errors(changes: dict[str, Any]) -> None:
+    """Guards against other exceptions and documents that JSON cannot represent."""
     values = _values()
     for path, value in changes.items():
         *parents, last = path.split(".")
-        place = values
+        table = values
         for parent in parents:
-            inner = place.get(parent)
-            place = inner if isinstance(inner, dict) else {}
-        place[last] = value
+            inner = table.get(parent)
+            table = inner if isinstance(inner, dict) else {}
+        table[last] = value
     try:
         document = loading.parse_document(values, "document")
     except ExceptionGroup as group:
@@ -186,17 +188,17 @@
 @pytest.mark.parametrize(
     ("content", "code"),
     [
-        (None, _C.DOCUMENT_UNREADABLE),
-        (b"\xff", _C.DOCUMENT_UNREADABLE),
-        (b"a = ", _C.DOCUMENT_UNREADABLE),
-        (b"a = " + b"[" * 5_000, _C.DOCUMENT_UNREADABLE),
-        (b"#" * (loading.MAX_DOCUMENT_BYTES + 1), _C.DOCUMENT_TOO_LARGE),
+        (None, _ResultCode.DOCUMENT_UNREADABLE),
+        (b"\xff", _ResultCode.DOCUMENT_UNREADABLE),
+        (b"a = ", _ResultCode.DOCUMENT_UNREADABLE),
+        (b"a = " + b"[" * 5_000, _ResultCode.DOCUMENT_UNREADABLE),
+        (b"#" * (loading.MAX_DOCUMENT_BYTES + 1), _ResultCode.DOCUMENT_TOO_LARGE),
     ],
 )
-def test_file_that_is_not_a_document(
+def test_invalid_file_raises_a_document_error(
     tmp_path: pathlib.Path, content: bytes | None, code: codes.ResultCode
 ) -> None:
-    """Guards against a traceback or unbounded memory for an odd file."""
+    """Guards against other exceptions or unbounded memory for an invalid file."""
     path = tmp_path / "document.toml"
     if content is not None:
         path.write_bytes(content)
@@ -208,20 +210,20 @@
 
 
 def test_document_of_many_hosts_is_too_large_for_a_record() -> None:
-    """Guards against a document that the log refuses only after publication."""
+    """Guards against a document that passes the checks but exceeds a record's limit."""
     values = _values()
     for i in range(20_000):
         values["hosts"][f"host-{i}"] = {"data_centre": "d1", "rack": f"rack-{i}"}
         values["pools"]["q"]["host_ids"].append(f"host-{i}")
     values["pools"]["q"]["max_hosts"] = 30_000
-    assert [p.code for p in _problems(values)] == [_C.DOCUMENT_TOO_LARGE]
+    assert [p.code for p in _problems(values)] == [_ResultCode.DOCUMENT_TOO_LARGE]
 
 
 @pytest.mark.parametrize(
     ("name", "pools", "hosts"), [("teranga", 5, 40), ("al-batinah", 5, 30)]
 )
 def test_examples_are_valid(name: str, pools: int, hosts: int) -> None:
-    """Guards against shipped examples that the current version refuses."""
+    """Guards against shipped examples that the current version rejects."""
     document = loading.load_document(_EXAMPLES / f"{name}.toml")
     assert len(document.pools) == pools
     assert len(document.hosts) == hosts
--- a/clementinespar/fleet/snapshot.py
+++ b/clementinespar/fleet/snapshot.py
@@ -118,7 +118,7 @@
                 results = _RESULTS_ADAPTER.validate_json(part[1:])
                 fleet.results_by_record_id.update(results)
             else:
-                raise SnapshotError("a part of the state starts with neither C nor R")
+                raise SnapshotError("unknown part of the state; expected prefix C or R")
     except (zlib.error, ValueError) as error:
         raise SnapshotError(str(error).splitlines()[0]) from error
     return fleet
@@ -205,7 +205,7 @@
         try:
             return rebuild(chunks.values())
         except SnapshotError as error:
-            _log.warning("ignoring invalid snapshot {}: {}", chunk.snapshot_id, error)
+            _log.warning("invalid snapshot {} is refused: {}", chunk.snapshot_id, error)
             return None
 
 
--- a/clementinespar/log/appender.py
+++ b/clementinespar/log/appender.py
@@ -19,10 +19,10 @@
 _MAX_BATCH_RECORDS = 200
 _MAX_BATCH_BYTES = 4 * 1024 * 1024
 # The log accepts several hundred appends a second from all nodes together. A refusal
-# lengthens the delay between appends by a fifth and each successful append shortens it
-# by a twentieth, so that the nodes converge on an even split of the rate. Doubling and
-# halving the delay instead gave a p99 claim latency of 602 ms to 1004 ms with 9 nodes,
-# 100 claims a second each and a limit of 300 appends a second.
+# lengthens the delay between appends and each successful append shortens it by less, so
+# that the nodes converge on an even split of the rate. Doubling and halving the delay
+# instead gave a p99 claim latency of 602 ms to 1004 ms with 9 nodes, 100 claims a
+# second each and a limit of 300 appends a second.
 _FIRST_BACKOFF_S = 0.01
 _BACKOFF_GROWTH = 1.2
 _BACKOFF_DECAY = 0.95
--- a/clementinespar/requests/dispatcher.py
+++ b/clementinespar/requests/dispatcher.py
@@ -738,7 +738,7 @@
             return []
         assert document is not None
         members = self._pool.members(service.name, declared, now)
-        if not self._has_queue_in(document, document.lent_pool(service.name)):
+        if not self._has_queue_in(document, document.lender_pool(service.name)):
             members += self._pool.lent_members(service.name, document, now)
         host_ids = {member.target.host_id for member in members}
         if host_ids != service.host_ids:
--- a/clementinespar/requests/target_pool.py
+++ b/clementinespar/requests/target_pool.py
@@ -92,7 +92,7 @@
         self, service: str, document: document_model.Document, now: float
     ) -> list[PoolMember]:
         """Return the targets of the pool that a service borrows from."""
-        pool = document.lent_pool(service)
+        pool = document.lender_pool(service)
         if pool is None:
             return []
         # The lender's own declaration counts for its targets.
--- a/clementinespar/requests/targets.py
+++ b/clementinespar/requests/targets.py
@@ -56,7 +56,7 @@
     def lent_targets_of(self, service: str) -> Sequence[model.Target]:
         """Return targets of the pool that the service borrows from."""
         document = self._source.state.documents.production
-        pool = None if document is None else document.lent_pool(service)
+        pool = None if document is None else document.lender_pool(service)
         return () if pool is None else self._targets_in(pool)
 
     def _targets_in(self, pool: str) -> Sequence[model.Target]:
