--- a/bench/policy/hosts.py
+++ b/bench/policy/hosts.py
@@ -197,12 +197,12 @@
 
 @contextmanager
 def _without_hysteresis() -> Iterator[None]:
-    kept = capacity_planner.SHORTAGE_S, capacity_planner.ROOM_S
-    capacity_planner.SHORTAGE_S = capacity_planner.ROOM_S = 0.0
+    kept = capacity_planner.MIN_SHORTAGE_S, capacity_planner.MIN_SURPLUS_S
+    capacity_planner.MIN_SHORTAGE_S = capacity_planner.MIN_SURPLUS_S = 0.0
     try:
         yield
     finally:
-        capacity_planner.SHORTAGE_S, capacity_planner.ROOM_S = kept
+        capacity_planner.MIN_SHORTAGE_S, capacity_planner.MIN_SURPLUS_S = kept
 
 
 def measure_moves(user: workload.User) -> list[MoveRow]:
--- a/clementinespar/capacity/__init__.py
+++ b/clementinespar/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity that follows demand."""
+"""Moves of hosts between pools, so that capacity follows demand."""
--- a/clementinespar/capacity/planner.py
+++ b/clementinespar/capacity/planner.py
@@ -1,9 +1,9 @@
 """Decides which hosts move between pools, so that capacity follows demand.
 
 The decision is a pure function of the folded state, the document, the observed demand
-and how long shortages and room have lasted. The fold checks each resulting record
-again. A move takes a drain and a reboot, so only the slow part of demand counts; peaks
-of a few seconds are left to queueing.
+and how long shortages and surpluses have lasted. The fold checks each resulting record
+again. A move takes a drain and a reboot, so it follows only the smoothed demand; queues
+absorb peaks of a few seconds.
 """
 
 import collections
@@ -18,26 +18,26 @@
 from clementinespar.pools import availability, budget, messages
 from clementinespar.pools import state as pools_state
 
-# Share of a pool's slots that the mean demand may use. Queues peak at about five times
-# their mean for seconds; the rest of the slots and the queue absorb that.
+# Share of a pool's slots that the mean demand may use. Demand peaks at about five times
+# its mean for seconds; the other slots and the queue absorb that.
 UTILISATION = 0.7
 _UTILISATION_BOUNDS = (0.5, 0.85)
-# Spreads the largest ratios of weights over the bounds of the utilisation.
+# Maps the largest ratios of weights to the bounds of the utilisation.
 _UTILISATION_EXPONENT = 0.15
-# A pool lends only hosts that it would not need at this much lower utilisation, so that
-# lending does not cause the next shortage.
+# A pool lends only hosts that it would not need at a utilisation lower by this margin,
+# so that lending does not cause the next shortage.
 LENDING_MARGIN = 0.15
 # Shortages must last longer than peaks of a few seconds before a host is drained.
-SHORTAGE_S = 60.0
-# Room must last longer, because a host that returns too early costs two more moves.
-ROOM_S = 600.0
-MAX_DEMAND_AGE_S = 30.0  # older observations decide nothing
+MIN_SHORTAGE_S = 60.0
+# Surpluses must last longer: a host that returns too early costs two more moves.
+MIN_SURPLUS_S = 600.0
+MAX_DEMAND_AGE_S = 30.0  # older observations are ignored
 _REFUSALS_PER_S = 0.1  # refusals below this rate are not a shortage
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Situation:
-    """All that the decision depends on."""
+    """Inputs of the decision."""
 
     document: model.Document
     pools: pools_state.PoolsState
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoolNeed:
-    """What a pool has and needs, in hosts."""
+    """Hosts that a pool has and needs."""
 
     pool: str
     has: int  # hosts in service, in maintenance or arriving; not failed, not leaving
@@ -59,26 +59,26 @@
 
     @property
     def shortage(self) -> int:
-        """Hosts that the pool lacks."""
+        """Number of hosts that the pool lacks."""
         return 0 if self.needed is None else max(0, self.needed - self.has)
 
     @property
-    def room(self) -> int:
-        """Hosts that the pool can lend."""
+    def surplus(self) -> int:
+        """Number of hosts that the pool can lend."""
         return 0 if self.keeps is None else max(0, self.has - self.keeps)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class History:
-    """Since when shortages and room have lasted, in event-loop time."""
+    """Start times of the current shortages and surpluses, in event-loop time."""
 
     short_since_by_pool: Mapping[str, float] = dataclasses.field(default_factory=dict)
-    room_since_by_pool: Mapping[str, float] = dataclasses.field(default_factory=dict)
+    surplus_since_by_pool: Mapping[str, float] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Move:
-    """A host to move."""
+    """Decision to move a host to another pool."""
 
     host_id: str
     from_pool: str
@@ -102,7 +102,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CapacityPlan:
-    """What the next round does, with the needs and an explanation for each pool."""
+    """Decisions of the next round, with the needs and an explanation for each pool."""
 
     moves: tuple[Move, ...] = ()
     needs_by_pool: dict[str, PoolNeed] = dataclasses.field(default_factory=dict)
@@ -168,22 +168,22 @@
     return PoolNeed(pool, has, needed, keeps, age_s, tuple(facts))
 
 
-def shortage_s(weights: model.Weights) -> float:
-    """Return how long a shortage lasts before a host moves, in seconds."""
-    return SHORTAGE_S * weights.ratio("moves", "short_wait")
+def min_shortage_s(weights: model.Weights) -> float:
+    """Return how long a shortage must last before a host moves, in seconds."""
+    return MIN_SHORTAGE_S * weights.ratio("moves", "short_wait")
 
 
-def room_s(weights: model.Weights) -> float:
-    """Return how long room lasts before a lent host returns, in seconds."""
-    return ROOM_S * weights.ratio("moves", "buffer_cost")
+def min_surplus_s(weights: model.Weights) -> float:
+    """Return how long a surplus must last before a lent host returns, in seconds."""
+    return MIN_SURPLUS_S * weights.ratio("moves", "buffer_cost")
 
 
 def update_history(
     history: History, needs_by_pool: Mapping[str, PoolNeed], now: float
 ) -> History:
-    """Return since when each shortage and each room has lasted.
+    """Return the start times of all shortages and surpluses.
 
-    A pool whose demand is not known starts over.
+    The time starts over when a shortage or surplus ends or the demand is not known.
     """
     return History(
         {
@@ -192,9 +192,9 @@
             if need.shortage
         },
         {
-            pool: history.room_since_by_pool.get(pool, now)
+            pool: history.surplus_since_by_pool.get(pool, now)
             for pool, need in needs_by_pool.items()
-            if need.room
+            if need.surplus
         },
     )
 
@@ -202,30 +202,30 @@
 def plan(
     situation: Situation, needs_by_pool: dict[str, PoolNeed], history: History
 ) -> CapacityPlan:
-    """Return what the next round does."""
+    """Return the plan of the next round."""
     decision = _Decision(situation, needs_by_pool, history)
     stop = availability.check_list_age(
         situation.document.maintenance, situation.observation
     )
     if stop == codes.ResultCode.OK:
-        decision.send_to_new_homes()
+        decision.move_to_new_homes()
         decision.fill_shortages()
-        decision.return_lent()
+        decision.return_lent_hosts()
     return CapacityPlan(
         tuple(decision.moves), needs_by_pool, _explain_pools(decision, stop)
     )
 
 
 class _Decision:
-    """One run of the decision; collects moves and keeps count of pools in motion."""
+    """One run of the decision; collects moves and tracks the pools involved."""
 
     situation: Situation
     needs_by_pool: dict[str, PoolNeed]
     history: History
     moves: list[Move]  # decided so far
-    _leaving_pairs: set[tuple[str, str]]  # pool pairs with a host on its way
-    _receiving: set[str]  # pools with a host that has changed pool but not arrived
-    _donors: set[str]  # pools that give a host in this round
+    _leaving_pairs: set[tuple[str, str]]  # old and new pools of hosts in a move
+    _receiving: set[str]  # pools with a new host that is not yet in service
+    _donors: set[str]  # pools that lose a host in this round
 
     def __init__(
         self,
@@ -248,69 +248,73 @@
             else:
                 self._leaving_pairs.add((host.pool, host.out.to_pool))
 
-    def send_to_new_homes(self) -> None:
-        """Move hosts whose home the document changed."""
-        for host in self._hosts_away():
+    def move_to_new_homes(self) -> None:
+        """Move hosts whose home pool the document changed."""
+        for host in self._hosts_outside_home():
             if not host.is_lent:
                 self._try_move(host, host.home, "the document names this home pool")
 
     def fill_shortages(self) -> None:
-        """Move hosts to pools whose shortage has lasted, the worst one first."""
-        bound_s = shortage_s(self.situation.document.weights)
+        """Move hosts to pools with a lasting shortage, the worst relative one first."""
+        min_duration_s = min_shortage_s(self.situation.document.weights)
         short = [
             need
             for pool, need in self.needs_by_pool.items()
-            if self._has_lasted(self.history.short_since_by_pool, pool, bound_s)
+            if self._has_lasted(self.history.short_since_by_pool, pool, min_duration_s)
         ]
         short.sort(
             key=lambda need: (-need.shortage / max(need.needed or 1, 1), need.pool)
         )
         for need in short:
-            coming = self._count_coming(need.pool)
-            if coming < need.shortage:
+            incoming = self._count_incoming(need.pool)
+            if incoming < need.shortage:
                 self._fill(need)
 
     def _fill(self, need: PoolNeed) -> None:
         because = f"pool {need.pool} lacks {need.shortage} hosts"
-        for host in self._hosts_away():
+        for host in self._hosts_outside_home():
             if host.home == need.pool and self._try_move(host, need.pool, because):
                 return
         for donor in self._donor_pools(need.pool):
             is_spare = self.situation.document.pools[donor].spare
             if is_spare and (donor, need.pool) in self._leaving_pairs:
-                # Its next host follows soon and disturbs no pool that serves.
+                # Wait for the next spare host; do not take one from a serving pool.
                 return
             for host in self._candidates(donor, need.pool):
                 if self._try_move(host, need.pool, because):
                     return
 
-    def return_lent(self) -> None:
+    def return_lent_hosts(self) -> None:
         """Return lent hosts that the borrowing pool has not needed for long enough."""
-        bound_s = room_s(self.situation.document.weights)
-        for host in self._hosts_away():
-            if not host.is_lent or not self.needs_by_pool[host.pool].room:
+        min_duration_s = min_surplus_s(self.situation.document.weights)
+        for host in self._hosts_outside_home():
+            if not host.is_lent or not self.needs_by_pool[host.pool].surplus:
                 continue
-            if self._has_lasted(self.history.room_since_by_pool, host.pool, bound_s):
-                because = f"pool {host.pool} needs it no longer"
+            if self._has_lasted(
+                self.history.surplus_since_by_pool, host.pool, min_duration_s
+            ):
+                because = f"pool {host.pool} no longer needs it"
                 self._try_move(host, host.home, because)
 
-    def _hosts_away(self) -> list[pools_state.HostState]:
+    def _hosts_outside_home(self) -> list[pools_state.HostState]:
         hosts = self.situation.pools.hosts_by_id.values()
-        away = [host for host in hosts if host.pool != host.home and host.out is None]
-        return sorted(away, key=lambda host: host.host_id)
+        outside = [
+            host for host in hosts if host.pool != host.home and host.out is None
+        ]
+        return sorted(outside, key=lambda host: host.host_id)
 
     def _donor_pools(self, borrower: str) -> list[str]:
-        """Return the pools that can lend: spare pools first, then the most room."""
-        bound_s = shortage_s(self.situation.document.weights)
+        """Return the pools that can lend: spare pools first, then by surplus."""
+        min_duration_s = min_shortage_s(self.situation.document.weights)
         donors: list[tuple[bool, int, str]] = []
         for pool, need in self.needs_by_pool.items():
-            if pool == borrower or need.room == 0:
+            if pool == borrower or need.surplus == 0:
                 continue
             is_spare = self.situation.document.pools[pool].spare
             if is_spare or self._has_lasted(
-                self.history.room_since_by_pool, pool, bound_s
+                self.history.surplus_since_by_pool, pool, min_duration_s
             ):
-                donors.append((not is_spare, -need.room, pool))
+                donors.append((not is_spare, -need.surplus, pool))
         return [pool for _, _, pool in sorted(donors)]
 
     def _candidates(self, donor: str, borrower: str) -> list[pools_state.HostState]:
@@ -328,23 +332,23 @@
             ),
         )
 
-    def _count_coming(self, pool: str) -> int:
-        """Return how many hosts are on their way but not yet members."""
+    def _count_incoming(self, pool: str) -> int:
+        """Return how many hosts are moving to a pool but are not yet its members."""
         return sum(to_pool == pool for _, to_pool in self._leaving_pairs)
 
     def _has_lasted(
-        self, since_by_pool: Mapping[str, float], pool: str, bound_s: float
+        self, since_by_pool: Mapping[str, float], pool: str, min_duration_s: float
     ) -> bool:
         since = since_by_pool.get(pool)
-        return since is not None and self.situation.now - since >= bound_s
+        return since is not None and self.situation.now - since >= min_duration_s
 
     def _try_move(
         self, host: pools_state.HostState, to_pool: str, because: str
     ) -> bool:
-        """Decide on a move if the budget and the bounds on motion allow it.
+        """Decide on a move if the budget and the limits on concurrent moves allow it.
 
-        One host at a time moves between two pools, and a pool gives one host a round:
-        an estimate that was wrong then costs one move.
+        One host at a time moves between two pools, and a pool gives one host a round,
+        so that a wrong estimate costs only one move.
         """
         unavailable = self.situation.observation.unavailable_by_host_id
         document = self.situation.document
@@ -394,9 +398,9 @@
                 pool, decision.situation.now
             )
             lasted_s = decision.situation.now - since
-            if lasted_s < shortage_s(weights):
+            if lasted_s < min_shortage_s(weights):
                 waits_for = (
-                    f"the shortage to last {shortage_s(weights):.0f} s, "
+                    f"the shortage to last {min_shortage_s(weights):.0f} s, "
                     f"{lasted_s:.0f} s so far"
                 )
             else:
@@ -404,7 +408,7 @@
         elif need.needed is None:
             pool_state = "unknown"
             waits_for = "an observation of the demand"
-        elif need.room:
+        elif need.surplus:
             pool_state = "has room"
         else:
             pool_state = "balanced"
--- a/clementinespar/capacity/runner.py
+++ b/clementinespar/capacity/runner.py
@@ -1,4 +1,4 @@
-"""Moves hosts between pools in rounds, on the node that holds the duty."""
+"""Moves hosts between pools in rounds, on the lease holder of the duty."""
 
 import asyncio
 
@@ -16,13 +16,13 @@
 
 _LOG = logbook.Logger(__name__)
 
-# After a longer gap between rounds, for example a pause of the process, how long
-# shortages have lasted is not known and is measured anew.
+# After a longer gap between rounds, for example a pause of the process, the durations
+# of shortages are not known and are measured anew.
 _MAX_ROUND_GAP_S = 30.0
 
 
 class CapacityRunner:
-    """Decides on moves, takes their hosts out and carries them through.
+    """Decides on moves, takes their hosts out of service and advances their operations.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
     appender : appending.RecordAppender
         Appends the decisions.
     operations : pool_operations.HostOperations
-        Carries hosts that are out.
+        Advances the operations of hosts that are out.
     host_list : platform_service.HostListSource
         Newest host list of this node.
     demand : capacity_demand.DemandSource
@@ -40,12 +40,12 @@
         Name of this node.
     """
 
-    _source: fleet_source.FleetSource  # the folded state
-    _appender: appending.RecordAppender  # appends the decisions
-    _operations: pool_operations.HostOperations  # carries hosts that are out
-    _host_list: platform_service.HostListSource  # newest host list of this node
-    _demand: capacity_demand.DemandSource  # newest demand and ejected hosts
-    _author: str  # name of this node
+    _source: fleet_source.FleetSource
+    _appender: appending.RecordAppender
+    _operations: pool_operations.HostOperations
+    _host_list: platform_service.HostListSource
+    _demand: capacity_demand.DemandSource
+    _author: str
     _history_by_environment: dict[document_messages.Environment, planner.History]
     _observed_at: float | None  # loop time of the last update of the histories
 
@@ -68,7 +68,7 @@
         self._observed_at = None
 
     async def run_round(self) -> codes.ResultCode:
-        """Carry on what is out, then do what the plan says.
+        """Advance the operations of hosts that are out, then append the next decisions.
 
         Returns
         -------
@@ -97,17 +97,17 @@
                 still_planned = {(m.host_id, m.to_pool) for m in newer.moves}
             if (move.host_id, move.to_pool) not in still_planned:
                 continue
-            what = (
+            description = (
                 f"move of host {move.host_id} from {move.from_pool} to {move.to_pool}"
             )
             record = move.to_record(self._author, self._appender.now_ms())
             await planning.append_decision(
-                self._appender, record, f"{what}: {move.because}", _LOG
+                self._appender, record, f"{description}: {move.because}", _LOG
             )
         return codes.ResultCode.OK
 
     def plan(self, environment: document_messages.Environment) -> planner.CapacityPlan:
-        """Return what the next round does under an environment's document.
+        """Return the plan of the next round under an environment's document.
 
         The trial document is evaluated against a copy of the hosts, so its plan shows
         what the document would do if it were promoted now.
@@ -120,7 +120,7 @@
         return planner.plan(situation, needs, history)
 
     def explain(self, pool: str) -> explanation.Explanation:
-        """Explain what a pool has, needs and waits for."""
+        """Explain how many hosts a pool has and needs, and what it waits for."""
         found = self.plan("production").explanations_by_pool.get(pool)
         if found is not None:
             return found
@@ -135,17 +135,17 @@
     def _situation(
         self, environment: document_messages.Environment
     ) -> planner.Situation | None:
-        basis = planning.basis_of(
+        inputs = planning.planning_inputs(
             self._source, self._host_list, self._demand, environment
         )
-        if basis is None:
+        if inputs is None:
             return None
         return planner.Situation(
-            basis.document,
-            basis.pools,
+            inputs.document,
+            inputs.pools,
             self._demand.demand_by_service(),
             asyncio.get_running_loop().time(),
-            basis.observation,
+            inputs.observation,
         )
 
     def _update_histories(self) -> None:
--- a/clementinespar/capacity/tests/test_planner.py
+++ b/clementinespar/capacity/tests/test_planner.py
@@ -17,7 +17,7 @@
 _C = fleets.host_ids("c", 4)
 _POOLS = {"a": _A, "b": _B, "c": _C}
 _SERVICES = {"sa": "a", "sb": "b"}
-_LONG_AGO = planner.History(dict.fromkeys("abc", -1e6), dict.fromkeys("abc", -1e6))
+_LONG_HISTORY = planner.History(dict.fromkeys("abc", -1e6), dict.fromkeys("abc", -1e6))
 
 
 def _document(**changes: object) -> model.Document:
@@ -39,7 +39,7 @@
     *,
     age_s: float = 0.0,
     refused_per_s: float = 0.0,
-    history: planner.History = _LONG_AGO,
+    history: planner.History = _LONG_HISTORY,
     list_age_s: float = 0.0,
     unavailable: dict[str, str] | None = None,
 ) -> planner.CapacityPlan:
@@ -63,7 +63,7 @@
 
 
 def _move(fold: fleets.Fold, host_id: str, from_pool: str, to_pool: str) -> None:
-    """Carry a host all the way to another pool."""
+    """Append all records that move a host to another pool."""
     code = fold.add(
         messages.HostTakenOut,
         host_id=host_id,
@@ -81,16 +81,16 @@
 @pytest.mark.parametrize(
     ("slots_a", "slots_b", "options", "expected"),
     [
-        (20.0, 20.0, {}, []),  # 4 of 6 hosts needed in each pool
+        (20.0, 20.0, {}, []),  # each pool needs 4 of its 6 hosts
         (40.0, 8.0, {}, [("c", "a")]),  # 8 needed: the spare pool lends first
-        (40.0, 40.0, {}, [("c", "a")]),  # one host of a donor a round
-        # Observations that are missing or old decide nothing.
+        (40.0, 40.0, {}, [("c", "a")]),  # a donor lends one host a round
+        # Missing or old observations are ignored.
         (40.0, 8.0, {"age_s": 31.0}, []),
-        # Moves stop on an old host list.
+        # No host moves on an old host list.
         (40.0, 8.0, {"list_age_s": 31.0}, []),
         # Refusals are a shortage even when slots are free.
         (20.0, 8.0, {"refused_per_s": 1.0}, [("c", "a")]),
-        # Shortages that have not lasted yet.
+        # The shortage has not lasted for long enough.
         (40.0, 8.0, {"history": planner.History({"a": -30.0}, {})}, []),
         # Hosts that are ejected or missing do not move.
         (40.0, 8.0, {"unavailable": dict.fromkeys(_C[:3], "missing")}, [("b", "a")]),
@@ -106,17 +106,19 @@
     assert _pairs(plan) == expected
 
 
-def test_pools_with_room_lend_when_the_spare_pool_has_none() -> None:
+def test_pools_with_a_surplus_lend_when_the_spare_pool_has_none() -> None:
     fold = _fold(_document(min_available={"a": 2, "b": 2, "c": 3}))
     assert _pairs(_plan(fold, 40.0, 8.0)) == [("b", "a")]
-    # A pool lends only what it would not need soon.
+    # A pool keeps the hosts that it needs at a lower utilisation.
     assert _pairs(_plan(fold, 40.0, 24.0)) == []
 
 
-@pytest.mark.parametrize(("kept_c", "donor"), [(1, "c"), (4, "b")])
-def test_one_host_at_a_time_moves_between_two_pools(kept_c: int, donor: str) -> None:
-    # Guards against a wrong estimate that drains many hosts before it shows.
-    fold = _fold(_document(min_available={"a": 2, "b": 2, "c": kept_c}))
+@pytest.mark.parametrize(("min_available_c", "donor"), [(1, "c"), (4, "b")])
+def test_one_host_at_a_time_moves_between_two_pools(
+    min_available_c: int, donor: str
+) -> None:
+    # Guards against a wrong estimate that drains many hosts before it is noticed.
+    fold = _fold(_document(min_available={"a": 2, "b": 2, "c": min_available_c}))
     [move] = _plan(fold, 48.0).moves
     assert move.from_pool == donor
     fold.add(
@@ -129,7 +131,7 @@
     assert _pairs(_plan(fold, 60.0)) == []
 
 
-def test_lent_hosts_return_when_the_room_has_lasted() -> None:
+def test_lent_hosts_return_when_the_surplus_has_lasted() -> None:
     fold = _fold(_document())
     _move(fold, _C[0], "c", "a")
     assert _pairs(_plan(fold, 8.0)) == [("a", "c")]
@@ -138,7 +140,7 @@
     assert _pairs(_plan(fold, 35.0)) == []  # still needed
 
 
-def test_a_pool_in_need_calls_its_own_hosts_first() -> None:
+def test_pool_with_a_shortage_recalls_its_own_hosts_first() -> None:
     fold = _fold(_document())
     _move(fold, _B[0], "b", "a")
     plan = _plan(fold, 20.0, 34.0)
@@ -146,34 +148,36 @@
 
 
 def test_new_home_in_the_document_causes_a_move() -> None:
-    # Guards against a host that stays because its old pool could use it.
+    # Guards against a host that stays in its old pool because that pool needs it.
     fold = _fold(_document())
     changed = {"a": _A[1:], "b": [*_B, _A[0]], "c": _C}
     fold.publish(_document(pools=changed))
-    never = planner.History()
-    plan = _plan(fold, 30.0, history=never)
+    no_history = planner.History()
+    plan = _plan(fold, 30.0, history=no_history)
     assert [(m.host_id, m.to_pool) for m in plan.moves] == [(_A[0], "b")]
 
 
 @pytest.mark.parametrize(
     ("weights", "check"),
     [
-        (model.Weights(moves=4.0), lambda slow, base: slow > base),
-        (model.Weights(short_wait=4.0), lambda slow, base: slow < base),
+        (model.Weights(moves=4.0), lambda min_s, default_s: min_s > default_s),
+        (model.Weights(short_wait=4.0), lambda min_s, default_s: min_s < default_s),
     ],
 )
 def test_weights_change_how_long_a_shortage_lasts(weights, check) -> None:  # type: ignore[no-untyped-def]
-    # The same decision serves a user who avoids moves and one who avoids waiting.
-    assert check(planner.shortage_s(weights), planner.shortage_s(model.Weights()))
+    # Guards against weights of moves and of waiting that have no effect.
+    assert check(
+        planner.min_shortage_s(weights), planner.min_shortage_s(model.Weights())
+    )
 
 
-def test_weights_change_the_buffer() -> None:
+def test_weights_change_the_number_of_needed_hosts() -> None:
     def needed(weights: model.Weights) -> int:
         plan = _plan(_fold(_document(weights=weights)), 30.0)
         return plan.needs_by_pool["a"].needed or 0
 
-    frugal = needed(model.Weights(buffer_cost=4.0))
-    assert frugal < needed(model.Weights(short_wait=4.0))
+    low_cost = needed(model.Weights(buffer_cost=4.0))
+    assert low_cost < needed(model.Weights(short_wait=4.0))
 
 
 def test_history_starts_over_when_a_shortage_ends() -> None:
@@ -186,12 +190,12 @@
     history = planner.update_history(history, need(6, 6), 41.0)
     history = planner.update_history(history, need(4, 6), 42.0)
     assert history.short_since_by_pool == {"a": 42.0}
-    # An unknown demand proves neither shortage nor room.
+    # With unknown demand there is neither a shortage nor a surplus.
     history = planner.update_history(history, need(9, None), 43.0)
     assert history == planner.History({}, {})
 
 
-def test_borrower_is_filled_across_failure_domains() -> None:
+def test_borrowed_hosts_are_spread_over_failure_domains() -> None:
     fold = _fold(_document(min_available=1))
     first = _plan(fold, 48.0).moves[0].host_id
     _move(fold, first, "c", "a")
@@ -199,7 +203,7 @@
     assert first[:4] != second[:4]
 
 
-def test_explanations_state_what_is_awaited() -> None:
+def test_explanations_state_what_a_pool_waits_for() -> None:
     fold = _fold(_document())
     history = planner.History({"a": -30.0}, {})
     explained = _plan(fold, 40.0, history=history).explanations_by_pool["a"]
--- a/clementinespar/capacity/tests/test_runner.py
+++ b/clementinespar/capacity/tests/test_runner.py
@@ -33,7 +33,7 @@
         yield node, platform
 
 
-def _count(node: fleets.FleetNode, pool: str) -> int:
+def _count_available(node: fleets.FleetNode, pool: str) -> int:
     hosts = node.state.pools.hosts_of(pool)
     return len([host for host in hosts if host.is_available])
 
@@ -44,19 +44,19 @@
         await node.run_rounds(30)
         node.demand.slots_by_service["sa"] = 44.0  # 8 hosts needed
         await node.run_rounds(200)
-        assert (_count(node, "a"), _count(node, "c")) == (8, 2)
+        assert (_count_available(node, "a"), _count_available(node, "c")) == (8, 2)
         moved = {h for h, p in platform.pool_by_host_id.items() if p == "a"}
         assert moved == set(node.state.pools.host_ids_by_pool["a"])
         node.demand.slots_by_service["sa"] = 8.0
         await node.run_rounds(900)
-        assert (_count(node, "a"), _count(node, "c")) == (6, 4)
-        # Guards against hosts that go back and forth.
+        assert (_count_available(node, "a"), _count_available(node, "c")) == (6, 4)
+        # Guards against hosts that are moved back and forth.
         reboots = [a for a in platform.actions if a.step == "reboot"]
         assert len([a for a in reboots if a.result == "started"]) == 4
 
 
 @paused_clock.test
-async def test_peaks_of_a_few_seconds_move_nothing() -> None:
+async def test_peaks_of_a_few_seconds_move_no_host() -> None:
     async with _node() as (node, platform):
         for _ in range(20):
             node.demand.slots_by_service["sa"] = 60.0
@@ -67,8 +67,8 @@
 
 
 @paused_clock.test
-async def test_pause_of_the_process_proves_no_lasting_shortage() -> None:
-    # Guards against a peak before and a peak after a pause that look like one shortage.
+async def test_pause_of_the_process_is_not_a_lasting_shortage() -> None:
+    # Guards against peaks before and after a pause that are taken for one shortage.
     async with _node() as (node, platform):
         node.demand.slots_by_service["sa"] = 60.0
         await node.run_rounds(5)
@@ -98,7 +98,7 @@
 
 
 @paused_clock.test
-async def test_trial_document_is_planned_but_moves_nothing() -> None:
+async def test_trial_document_is_planned_but_moves_no_host() -> None:
     async with _node() as (node, platform):
         await node.publish(
             fleets.make_document(_POOLS | {"c": _POOLS["c"][1:]}, services=_SERVICES),
--- a/clementinespar/claims/claimer.py
+++ b/clementinespar/claims/claimer.py
@@ -1,4 +1,4 @@
-"""Claims requests that may not be repeated through the log."""
+"""Claims requests that may not be repeated, through records in the log."""
 
 import asyncio
 import collections
@@ -16,20 +16,20 @@
 
 _log = logbook.Logger("claims.claimer")
 
-_BATCH_DELAY_S = 0.002  # claims that arrive together share one record
+_BATCH_DELAY_S = 0.002  # claims made within this time share one record
 _MAX_BATCH_CLAIMS: Final = 500
-# Two claims of one request id must differ; 64 bits do, and ids stay in memory and in
-# snapshots for as long as claims are kept.
+# Claim ids only distinguish claims of one request id, so 64 bits suffice. Longer ids
+# would take up memory and space in snapshots for as long as claims are kept.
 _CLAIM_ID_BYTES = 8
-_MAX_REQUEST_ID_LENGTH: Final = 120  # same as in messages.Claim
-# A release is tried for as long as its record would be accepted; after that the claim
-# stays until its request id is too old.
+_MAX_REQUEST_ID_LENGTH: Final = 120  # limit of `messages.Claim.request_id`
+# A release is retried for as long as its record would be accepted. After that, the
+# claim stays until its request id is too old.
 _RELEASE_TIMEOUT_S = fleet_state.DEDUP_WINDOW_MS / 1000
-_SWEEP_INTERVAL_S = 1.0  # time between looks for abandoned claims that won late
+_SWEEP_INTERVAL_S = 1.0  # time between checks for abandoned claims that won late
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Waiting:
+class _PendingClaim:
     """A claim whose caller waits for the result."""
 
     claim: messages.Claim
@@ -40,16 +40,16 @@
 class Claimer:
     """Implements `claims.service.ClaimService` on the log.
 
-    Every call of `claim` makes a claim id of its own, so the fold tells exactly which
-    call won. A claim whose caller has given up is released once the fold shows that it
-    won, because its request certainly did not run.
+    Every call of `claim` creates its own claim id, so the fold shows which call won. A
+    claim whose caller has timed out or was cancelled is released once the fold shows
+    that it won, because its request certainly did not run.
 
     Parameters
     ----------
     appender : log_appender.Appender
         Appends the batches.
     source : fleet_source.FleetSource
-        Holder of the folded state, which tells who won.
+        Provides the folded state, which shows which claims have won.
     author : str
         Name of this node.
     """
@@ -57,13 +57,13 @@
     _appender: log_appender.Appender
     _source: fleet_source.FleetSource
     _author: str
-    _waiting: list[_Waiting]  # claims of the next batch
-    _releases: list[messages.Claim]  # releases of the next batch
+    _pending_claims: list[_PendingClaim]  # claims of the next batch
+    _pending_releases: list[messages.Claim]  # releases of the next batch
     _won_by_request_id: "collections.OrderedDict[str, messages.Claim]"
-    # Claims given up before their result was known, with the loop time after which
-    # their records can no longer take effect.
+    # Claims whose append has no result, with the loop time after which their records
+    # can no longer take effect.
     _abandoned_by_claim_id: dict[str, tuple[messages.Claim, float]]
-    _releasing_claim_ids: set[str]  # releases on their way into the log
+    _releasing_claim_ids: set[str]  # claims whose releases are not yet in the log
     _flush_task: "asyncio.Task[None] | None"
     _sweep_task: "asyncio.Task[None] | None"
     _append_tasks: "set[asyncio.Task[None]]"
@@ -77,8 +77,8 @@
         self._appender = appender
         self._source = source
         self._author = author
-        self._waiting = []
-        self._releases = []
+        self._pending_claims = []
+        self._pending_releases = []
         self._won_by_request_id = collections.OrderedDict()
         self._abandoned_by_claim_id = {}
         self._releasing_claim_ids = set()
@@ -100,8 +100,8 @@
         claim = messages.Claim(
             request_id=request_id, claim_id=secrets.token_hex(_CLAIM_ID_BYTES)
         )
-        waiting = _Waiting(claim, loop.time() + timeout_s, loop.create_future())
-        self._waiting.append(waiting)
+        waiting = _PendingClaim(claim, loop.time() + timeout_s, loop.create_future())
+        self._pending_claims.append(waiting)
         self._start_flush()
         code = codes.ResultCode.CLAIM_UNAVAILABLE
         try:
@@ -112,24 +112,24 @@
         finally:
             # Also runs when the caller is cancelled.
             if code == codes.ResultCode.OK:
-                self._remember_won(claim)
+                self._record_won(claim)
             else:
-                self._give_up(waiting)
+                self._withdraw(waiting)
         return code
 
     async def release(self, request_id: str) -> None:
         """Release a claim of this node whose request certainly did not run.
 
         Returns at once; the release is appended in the background. Only claims that
-        this process won are released: those of an earlier process with the same node
-        name may have run.
+        this process won are released: requests claimed by an earlier process with the
+        same node name may have run.
         """
         claim = self._won_by_request_id.pop(request_id, None)
         if claim is not None:
             self._queue_release(claim)
 
     async def finish(self, timeout_s: float) -> None:
-        """Wait until queued releases are in the log, for a planned stop."""
+        """Wait until queued releases are in the log, before a planned stop."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
         while loop.time() < deadline:
@@ -140,7 +140,7 @@
                 return
             await asyncio.wait(tasks, timeout=deadline - loop.time())
 
-    def _remember_won(self, claim: messages.Claim) -> None:
+    def _record_won(self, claim: messages.Claim) -> None:
         self._won_by_request_id[claim.request_id] = claim
         held = self._source.state.claims.claims_by_request_id
         while self._won_by_request_id:
@@ -149,10 +149,10 @@
                 return
             del self._won_by_request_id[request_id]  # too old to be claimed again
 
-    def _give_up(self, waiting: _Waiting) -> None:
-        """Make sure that a claim does not stay held without its request."""
-        if waiting in self._waiting:
-            self._waiting.remove(waiting)
+    def _withdraw(self, waiting: _PendingClaim) -> None:
+        """Withdraw a claim whose request will not run."""
+        if waiting in self._pending_claims:
+            self._pending_claims.remove(waiting)
         elif (
             waiting.result.done()
             and not waiting.result.cancelled()
@@ -163,30 +163,32 @@
         # Otherwise `_append_claims` finds that the result was cancelled.
 
     def _abandon(self, claim: messages.Claim) -> None:
-        """Watch for a claim whose append has no result; it may still win."""
-        lasts_until = (
+        """Track a claim whose append has no result, because it may still win."""
+        expires_at = (
             asyncio.get_running_loop().time() + fleet_state.DEDUP_WINDOW_MS / 1000
         )
-        self._abandoned_by_claim_id[claim.claim_id] = (claim, lasts_until)
+        self._abandoned_by_claim_id[claim.claim_id] = (claim, expires_at)
         if self._sweep_task is None or self._sweep_task.done():
             self._sweep_task = asyncio.create_task(self._sweep(), name="claim sweep")
 
     async def _sweep(self) -> None:
-        """Release abandoned claims that won after their callers had given up."""
+        """Release claims that won although their append had no result."""
         while self._abandoned_by_claim_id:
             await asyncio.sleep(_SWEEP_INTERVAL_S)
             now = asyncio.get_running_loop().time()
             held_by_request_id = self._source.state.claims.claims_by_request_id
-            for claim_id, (claim, until) in list(self._abandoned_by_claim_id.items()):
+            for claim_id, (claim, expires_at) in list(
+                self._abandoned_by_claim_id.items()
+            ):
                 held = held_by_request_id.get(claim.request_id)
                 if held is not None and held.claim_id == claim_id:
                     del self._abandoned_by_claim_id[claim_id]
                     self._queue_release(claim)
-                elif now > until:
+                elif now > expires_at:
                     del self._abandoned_by_claim_id[claim_id]
 
     def _queue_release(self, claim: messages.Claim) -> None:
-        self._releases.append(claim)
+        self._pending_releases.append(claim)
         self._releasing_claim_ids.add(claim.claim_id)
         self._start_flush()
 
@@ -195,26 +197,29 @@
             self._flush_task = asyncio.create_task(self._flush(), name="claim flush")
 
     async def _flush(self) -> None:
-        """Hand the batches to the appender, releases before claims.
+        """Append the queued releases, then the queued claims.
 
-        A repeated request whose first claim is being released can then win.
+        With this order, a request that is repeated while its first claim is being
+        released can win.
         """
         await asyncio.sleep(_BATCH_DELAY_S)
-        while self._releases:
-            releases = self._releases[:_MAX_BATCH_CLAIMS]
-            del self._releases[:_MAX_BATCH_CLAIMS]
-            self._start(self._append_releases(releases))
-        while self._waiting:
-            batch = self._waiting[:_MAX_BATCH_CLAIMS]
-            del self._waiting[:_MAX_BATCH_CLAIMS]
-            self._start(self._append_claims(batch))
+        while self._pending_releases:
+            releases = self._pending_releases[:_MAX_BATCH_CLAIMS]
+            del self._pending_releases[:_MAX_BATCH_CLAIMS]
+            self._start_append(self._append_releases(releases))
+        while self._pending_claims:
+            batch = self._pending_claims[:_MAX_BATCH_CLAIMS]
+            del self._pending_claims[:_MAX_BATCH_CLAIMS]
+            self._start_append(self._append_claims(batch))
 
-    def _start(self, work: "collections.abc.Coroutine[object, object, None]") -> None:
+    def _start_append(
+        self, work: "collections.abc.Coroutine[object, object, None]"
+    ) -> None:
         task = asyncio.create_task(work)
         self._append_tasks.add(task)
         task.add_done_callback(self._append_tasks.discard)
 
-    async def _append_claims(self, batch: list[_Waiting]) -> None:
+    async def _append_claims(self, batch: list[_PendingClaim]) -> None:
         now = asyncio.get_running_loop().time()
         issued_ms = self._appender.now_ms()
         record = messages.RequestClaims(
@@ -227,7 +232,7 @@
         try:
             result = await self._appender.append(record, timeout_s)
         except errors.ClementinesparError as error:
-            _log.info("{} claims got no result: {}", len(batch), error)
+            _log.info("append of {} claims got no result: {}", len(batch), error)
             result = None
             if not isinstance(error, errors.LogUnavailableError):
                 for waiting in batch:
@@ -242,13 +247,13 @@
     def _outcome(
         self, claim: messages.Claim, result: fleet_state.RecordResult | None
     ) -> codes.ResultCode:
-        """Tell from the fold what became of a claim."""
+        """Return the result of a claim according to the fold."""
         if result is None or result.code != codes.ResultCode.OK:
             return codes.ResultCode.CLAIM_UNAVAILABLE
         held = self._source.state.claims.claims_by_request_id.get(claim.request_id)
         if held is None:
-            # Either the id was refused, or the claim that won has been released or
-            # has expired since; this node must not dispatch in any of these cases.
+            # Either the request id was refused, or the winning claim has been released
+            # or has expired since. This node must not dispatch in any of these cases.
             code = state.check_age(claim.request_id, result.timestamp_ms)
             if code != codes.ResultCode.OK:
                 return code
@@ -268,6 +273,10 @@
         try:
             await self._appender.append(record, _RELEASE_TIMEOUT_S)
         except errors.ClementinesparError as error:
-            _log.warning("{} claims stay until they expire: {}", len(claims), error)
+            _log.warning(
+                "{} claims were not released and stay until they expire: {}",
+                len(claims),
+                error,
+            )
         finally:
             self._releasing_claim_ids.difference_update(c.claim_id for c in claims)
--- a/clementinespar/claims/messages.py
+++ b/clementinespar/claims/messages.py
@@ -24,7 +24,7 @@
 
 
 class RequestReleases(base.Record):
-    """Releases claims whose requests certainly did not run."""
+    """Releases claims of requests that certainly did not run."""
 
     kind: Literal["request_releases"] = "request_releases"
     claims: tuple[Claim, ...]
--- a/clementinespar/claims/service.py
+++ b/clementinespar/claims/service.py
@@ -1,4 +1,4 @@
-"""The interface through which the request path claims requests."""
+"""Interface that the request path uses to claim requests."""
 
 from typing import Protocol
 
--- a/clementinespar/claims/state.py
+++ b/clementinespar/claims/state.py
@@ -11,10 +11,10 @@
 from clementinespar.claims import messages
 from clementinespar.log import service as log_service
 
-# Ids older than this are refused, so claims need not be kept for longer.
+# Request ids older than this are refused, so claims need not be kept for longer.
 CLAIM_RETENTION_MS = 600_000
-# Ids from callers whose clocks are further ahead are refused: their claims would have
-# to be kept for longer.
+# Request ids from callers whose clocks are further ahead are refused: their claims
+# would have to be kept for longer.
 MAX_CLOCK_AHEAD_MS = 60_000
 
 
@@ -23,8 +23,8 @@
     """The claim that won a request id."""
 
     claim_id: str
-    author: str  # node that holds the claim
-    issued_ms: int  # time of issue in the request id
+    author: str  # node that made the claim
+    issued_ms: int  # time of issue, from the request id
 
 
 @dataclasses.dataclass(slots=True)
@@ -37,7 +37,7 @@
 
 
 def check_age(request_id: str, log_time_ms: int) -> codes.ResultCode:
-    """Tell whether a request id may be claimed at a log time."""
+    """Check whether a request id may be claimed at a log time."""
     issued_ms = identifiers.parse_issued_ms(request_id)
     if issued_ms is None:
         return codes.ResultCode.REQUEST_INVALID
@@ -55,7 +55,7 @@
     record: messages.RequestClaims,
     entry: log_service.LogEntry,
 ) -> codes.ResultCode:
-    """Apply a batch; the result of each claim is what the state then says."""
+    """Apply a batch of claims; the state then shows which of them have won."""
     for claim in record.claims:
         if check_age(claim.request_id, entry.timestamp_ms) != codes.ResultCode.OK:
             continue
@@ -74,7 +74,7 @@
     record: messages.RequestReleases,
     entry: log_service.LogEntry,
 ) -> codes.ResultCode:
-    """Drop claims that the same claim id holds."""
+    """Drop the claims whose claim ids match those of the record."""
     for claim in record.claims:
         held = state.claims_by_request_id.get(claim.request_id)
         if held is not None and held.claim_id == claim.claim_id:
@@ -85,9 +85,10 @@
 def expire(state: ClaimsState, log_time_ms: int) -> None:
     """Drop claims whose request ids are too old to be claimed again.
 
-    Stops at the first claim in log order that must stay, so the cost is bounded by what
-    is dropped. A claim whose id was already old waits behind younger ones, but goes at
-    the latest ``CLAIM_RETENTION_MS + MAX_CLOCK_AHEAD_MS`` after its append.
+    Stops at the first claim in log order that must stay, so the cost is proportional to
+    the number of dropped claims. A claim whose request id was already old at its append
+    may stay behind newer ones, but for at most ``CLAIM_RETENTION_MS +
+    MAX_CLOCK_AHEAD_MS`` after its append.
     """
     claims = state.claims_by_request_id
     while claims:
--- a/clementinespar/duties/__init__.py
+++ b/clementinespar/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duty leases, which keep one node at a time on a background duty."""
+"""Duty leases, which let one node at a time do a background duty."""
--- a/clementinespar/duties/holder.py
+++ b/clementinespar/duties/holder.py
@@ -19,9 +19,10 @@
 
 
 class DutyHolder:
-    """Holds a duty on this node while it can.
+    """Acquires and renews the lease of a duty for this node.
 
-    A duty saves work only: whoever acts on it still relies on the fold for correctness.
+    The lease only avoids needless work: what its holder does is still checked by the
+    fold.
 
     Parameters
     ----------
@@ -30,23 +31,23 @@
     appender : log_appender.Appender
         Appends claims and releases.
     source : fleet_source.FleetSource
-        Holder of the folded state.
+        Provides the folded state.
     author : str
         Name of this node.
     lease_ms : int
         Length of the lease in milliseconds, at most `duties.state.MAX_LEASE_MS`.
     """
 
-    duty: str  # name of the duty
+    duty: str
 
     _appender: log_appender.Appender
     _source: fleet_source.FleetSource
     _author: str
     _lease_ms: int
-    _since_offset: int | None  # offset of the first claim of this process, if it holds
-    _held_until: float  # loop time at which the lease ends, counted from before sending
+    _since_offset: int | None  # offset of the claim that began the lease, if held
+    _lease_ends_at: float  # loop time, counted from before the claim was sent
     _loop: asyncio.AbstractEventLoop | None  # loop whose clock ends the lease
-    _random: random.Random  # differs between nodes, and repeats in tests
+    _random: random.Random  # seeded by node and duty, so that tests are repeatable
 
     def __init__(
         self,
@@ -62,31 +63,31 @@
         self._author = author
         self._lease_ms = min(lease_ms, state.MAX_LEASE_MS)
         self._since_offset = None
-        self._held_until = float("-inf")
+        self._lease_ends_at = float("-inf")
         self._loop = None
         self._random = random.Random(f"{author} {duty}")
 
     @property
     def is_held(self) -> bool:
-        """Whether this node holds the duty by log time and by its own clock."""
-        if self._loop is None or self._loop.time() >= self._held_until:
+        """Whether this node holds the lease by both log time and its own clock."""
+        if self._loop is None or self._loop.time() >= self._lease_ends_at:
             return False
         lease = self._lease()
         return (
             lease is not None
-            # The offset tells this tenure from all others, also of the same node name.
+            # The offset identifies the lease, also among leases of the same node name.
             and lease.since_offset == self._since_offset
             and self._source.state.log_time_ms < lease.until_ms
         )
 
     @property
     def fencing_offset(self) -> int | None:
-        """Offset of the claim that began the tenure, or None while not held."""
+        """Offset of the claim that began the lease, or None while it is not held."""
         return self._since_offset if self.is_held else None
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
-        """Claim and renew while the context is open; release at its end."""
+        """Claim and renew the duty while the context is open; release it at its end."""
         task = asyncio.create_task(self._run(), name=f"duty {self.duty}")
         try:
             yield
@@ -104,16 +105,16 @@
             if lease is not None and lease.holder != self._author:
                 remaining_ms = lease.until_ms - self._source.state.log_time_ms
                 if remaining_ms > 0:
-                    # Log time stands still without appends, so the wait is by the
-                    # loop's clock. The jitter keeps all nodes from claiming at once.
+                    # Log time does not advance without appends, so the wait uses the
+                    # loop's clock. The jitter keeps nodes from claiming all at once.
                     jitter = self._random.uniform(0.0, self._lease_ms / 10_000)
                     await asyncio.sleep(remaining_ms / 1000 + jitter)
                     if self._lease() != lease:
-                        continue  # renewed or passed on meanwhile
+                        continue  # renewed, or claimed by another node meanwhile
             await asyncio.sleep(await self._claim())
 
     async def _claim(self) -> float:
-        """Claim or renew once and return the seconds until the next claim."""
+        """Claim or renew once; return the delay until the next claim in seconds."""
         loop = asyncio.get_running_loop()
         self._loop = loop
         sent = loop.time()
@@ -129,7 +130,7 @@
             result = await self._appender.append(record, self._lease_ms / 2000)
         except errors.LogReplyLostError as error:
             # The claim may be in the log. A node that can append but not read would
-            # block the duty if it went on renewing, so it lets the lease run out.
+            # block the duty by further renewals, so it lets the lease expire.
             _log.info("claim of duty {} got no result: {}", self.duty, error)
             return self._lease_ms / 1000 + _RETRY_DELAY_S
         except errors.ClementinesparError as error:
@@ -141,15 +142,15 @@
         if lease is None or lease.holder != self._author:
             return 0.0
         if not self.is_held:
-            _log.info("this node holds duty {} now", self.duty)
+            _log.info("this node now holds duty {}", self.duty)
         self._since_offset = lease.since_offset
-        self._held_until = sent + self._lease_ms / 1000
+        self._lease_ends_at = sent + self._lease_ms / 1000
         return max(0.0, sent + self._lease_ms / 2000 - loop.time())
 
     async def _release(self) -> None:
-        """Give up the duty, so that another node need not wait for the lease to end."""
+        """Release the duty, so that another node need not wait for the lease to end."""
         was_held = self.is_held
-        self._held_until = float("-inf")
+        self._lease_ends_at = float("-inf")
         self._since_offset = None
         if not was_held:
             return
@@ -163,4 +164,6 @@
         try:
             await self._appender.append(record, _RELEASE_TIMEOUT_S)
         except errors.ClementinesparError as error:
-            _log.info("duty {} ends with its lease: {}", self.duty, error)
+            _log.info(
+                "duty {} was not released and ends with its lease: {}", self.duty, error
+            )
--- a/clementinespar/duties/messages.py
+++ b/clementinespar/duties/messages.py
@@ -14,7 +14,7 @@
 
 
 class DutyReleased(base.Record):
-    """Gives up a duty before its lease ends."""
+    """Releases a duty before its lease ends."""
 
     kind: Literal["duty_released"] = "duty_released"
     duty: str
--- a/clementinespar/duties/tests/test_holder.py
+++ b/clementinespar/duties/tests/test_holder.py
@@ -1,4 +1,4 @@
-"""Tests of duty leases with sleeping holders and faults of the log."""
+"""Tests of duty leases with paused lease holders and faults of the log."""
 
 import asyncio
 
@@ -20,11 +20,11 @@
 
 
 @log_nodes.with_nodes("node-a", "node-b")
-async def test_one_node_holds_and_another_follows_after_release(
+async def test_duty_passes_to_another_node_after_its_release(
     node_a: Node, node_b: Node
 ) -> None:
-    # Guards against two planners at once, and against a duty that stays blocked for a
-    # whole lease after a planned stop.
+    # Guards against two lease holders at a time, and against a duty that stays blocked
+    # until its lease ends after a planned stop.
     log = node_a.log
     holder_a, holder_b = make_holder(node_a), make_holder(node_b)
     assert not holder_a.is_held
@@ -34,8 +34,8 @@
                 await asyncio.sleep(0.1)
                 assert holder_a.is_held != holder_b.is_held
             first = holder_a if holder_a.is_held else holder_b
-            assert first.fencing_offset == 0, "renewals keep the token"
-            # 100 s of renewals at half the lease, and claims of the other.
+            assert first.fencing_offset == 0, "renewals must keep the fencing offset"
+            # Renewals every half lease for 100 s, and claims of the other node.
             assert log.append_count <= 45
         assert not holder_a.is_held
         await asyncio.sleep(_LEASE_MS / 1000 * 1.2)
@@ -58,7 +58,7 @@
 async def test_holder_that_is_cut_off_stops_before_another_starts(
     node_a: Node, node_b: Node, faults: fake_log.Faults
 ) -> None:
-    # Guards against a holder that goes on after its lease because it sees no records.
+    # Guards against a lease holder that cannot read the log and acts after its lease.
     holder_a, holder_b = make_holder(node_a), make_holder(node_b)
     async with holder_a.running():
         await asyncio.sleep(1.0)
@@ -78,26 +78,29 @@
 
 
 @log_nodes.with_nodes("node-a")
-async def test_holder_that_sleeps_over_its_lease(node: Node) -> None:
-    # Guards against a process that was paused and acts before it has read anything.
+async def test_holder_paused_past_its_lease(node: Node) -> None:
+    # Guards against a paused process that acts after its lease has ended, before any
+    # callback has run.
     holder = make_holder(node)
     async with holder.running():
         await asyncio.sleep(1.0)
         assert holder.is_held
         loop = asyncio.get_running_loop()
         assert isinstance(loop, paused_clock.PausedClockLoop)
-        # No callback runs between the jump of the clock and the check.
+        # No callback runs between the change of the clock and the check.
         loop._jumping_selector.jumped_s += _LEASE_MS / 1000
         assert not holder.is_held
 
 
 @log_nodes.with_nodes("node-a")
 async def test_lease_is_counted_from_before_the_claim_was_sent(node: Node) -> None:
-    # Guards against a holder whose lease lasts longer because it saw its claim late.
+    # Guards against a lease that is counted from the time at which its claim was read.
     log = node.log
     await node.appender.append(node.duty_record("first"), 5.0)
     holder = make_holder(node)
-    node.access.faults.visible_end = 1  # the claim takes effect unseen
+    node.access.faults.visible_end = (
+        1  # the claim takes effect, but the node cannot read it
+    )
     loop = asyncio.get_running_loop()
     async with holder.running():
         start = loop.time()
@@ -117,8 +120,8 @@
     [("node-b", "waves"), ("node-a", "waves"), ("node-b", "other")],
 )
 def test_fold_ends_a_duty_before_the_loop_clock_does(successor: str, duty: str) -> None:
-    # Guards against a host that was suspended: its loop clock stood still meanwhile.
-    # Another process, perhaps under the same node name, may have the duty then.
+    # Guards against a suspended host, whose loop clock stops: another process, possibly
+    # with the same node name, may hold the lease by then.
     async def main() -> None:
         log = fake_log.FakeLog()
         async with (
@@ -140,13 +143,13 @@
 
 
 @log_nodes.with_nodes("node-a")
-async def test_stop_during_an_outage_ends(node: Node) -> None:
-    # Guards against a planned stop that waits for the log for ever.
+async def test_stop_during_a_log_outage_is_bounded(node: Node) -> None:
+    # Guards against a planned stop that waits for an unavailable log without limit.
     log = node.log
     holder = make_holder(node)
     async with holder.running():
         await asyncio.sleep(1.0)
         log.faults.silent = True
-        stopped = asyncio.get_running_loop().time()
+        stop_began_at = asyncio.get_running_loop().time()
     assert not holder.is_held
-    assert asyncio.get_running_loop().time() - stopped <= 2.1
+    assert asyncio.get_running_loop().time() - stop_began_at <= 2.1
--- a/clementinespar/pools/availability.py
+++ b/clementinespar/pools/availability.py
@@ -1,4 +1,4 @@
-"""What a node sees of hosts beyond the folded state."""
+"""Availability of hosts as observed by this node, beyond the folded state."""
 
 import dataclasses
 from collections.abc import Collection, Mapping
@@ -11,10 +11,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observation:
-    """Hosts that a node sees as unavailable, and how old its view is."""
+    """Hosts that a node observes as unavailable, and the age of its host list."""
 
-    list_age_s: float  # least age that it can have, infinite before the first list
-    unavailable_by_host_id: Mapping[str, str]  # why, in one word
+    list_age_s: float  # lower bound of the age, infinite before the first list
+    unavailable_by_host_id: Mapping[str, str]  # reason, in one word
 
 
 def observe(
@@ -34,7 +34,7 @@
     ejected_ids : collection of str
         Hosts whose targets are ejected.
     log_time_ms : int, optional
-        Time of the newest record, 0 if there is none.
+        Append time of the newest record, 0 if there is none.
     """
     latest = host_list.latest
     if latest is None:
@@ -52,11 +52,11 @@
 
 
 def list_age_s(host_list: platform_service.HostListSource, log_time_ms: int) -> float:
-    """Return the least age that the newest host list can have, in seconds.
+    """Return a lower bound of the age of the newest host list, in seconds.
 
-    A list may be old although it was read just now, because it lags. The newest record
-    of the log was appended before now, so the list is at least as much older than now
-    as it is older than that record; both times are the platform's.
+    The platform may serve a list that it made long ago, so the time since it was read
+    is not enough. The newest record of the log was appended before now, so the list is
+    at least as old as the difference to that record; both times are the platform's.
     """
     latest = host_list.latest
     if latest is None:
@@ -67,7 +67,7 @@
 def check_list_age(
     maintenance: model.Maintenance, observation: Observation
 ) -> codes.ResultCode:
-    """Tell whether the host list is young enough to take hosts out."""
+    """Check whether the host list is recent enough to take hosts out."""
     if observation.list_age_s > maintenance.host_list_max_age_s:
         return codes.ResultCode.HOST_LIST_STALE
     return codes.ResultCode.OK
--- a/clementinespar/pools/budget.py
+++ b/clementinespar/pools/budget.py
@@ -26,7 +26,7 @@
     survive: Survive = "none",
     unavailable_ids: Collection[str] = frozenset(),
 ) -> codes.ResultCode:
-    """Tell whether a host may leave service without breaking its pool's budget.
+    """Check whether a host may leave service without breaking its pool's budget.
 
     Parameters
     ----------
@@ -42,7 +42,7 @@
     survive : {"none", "rack", "data_centre"}
         Failure domain whose loss during the operation must also fit in the budget.
     unavailable_ids : collection of str
-        Hosts that a planner sees as ejected or missing; the fold passes none.
+        Hosts that a planner observes as ejected or missing; the fold passes none.
 
     Returns
     -------
@@ -53,7 +53,7 @@
     if reason == "move" and len(members) - 1 < pool.min_hosts:
         return codes.ResultCode.BUDGET_EXCEEDED
     if not is_serving(candidate, unavailable_ids):
-        # The host counts as out already, so taking it out lowers nothing.
+        # The host is not in service, so taking it out does not lower availability.
         return codes.ResultCode.OK
     others = [host for host in hosts if host.host_id != candidate.host_id]
     available = [host for host in others if is_serving(host, unavailable_ids)]
@@ -71,18 +71,18 @@
         return codes.ResultCode.BUDGET_EXCEEDED
     if out_in_data_centre > pool.budget.max_out_per_data_centre:
         return codes.ResultCode.BUDGET_EXCEEDED
-    if not _fits_loss(pool, others, available, survive):
+    if not _survives_loss(pool, others, available, survive):
         return codes.ResultCode.BUDGET_EXCEEDED
     return codes.ResultCode.OK
 
 
-def _fits_loss(
+def _survives_loss(
     pool: model.Pool,
     others: Sequence[state.HostState],
     available: Sequence[state.HostState],
     survive: Survive,
 ) -> bool:
-    """Tell whether the hosts left in service survive the loss of a failure domain.
+    """Return whether the hosts left in service survive the loss of a failure domain.
 
     A pool may be too small or too unevenly spread to survive a loss while any one host
     is out. Its hosts still need maintenance, so there one host may be out at a time.
@@ -98,7 +98,7 @@
 
 
 def available_after_loss(hosts: Sequence[state.HostState], survive: Survive) -> int:
-    """Return how many of some hosts remain after the worst loss of one domain."""
+    """Return how many hosts remain after the loss of the largest failure domain."""
     if survive == "none" or not hosts:
         return len(hosts)
     hosts_by_domain = collections.Counter(
@@ -110,12 +110,12 @@
 def is_serving(
     host: state.HostState, unavailable_ids: Collection[str] = frozenset()
 ) -> bool:
-    """Whether a host counts as in service, by the fold and by a planner's own view."""
+    """Whether a host is in service by the folded state and a planner's observation."""
     return host.is_available and host.host_id not in unavailable_ids
 
 
 def is_leaving(host: state.HostState) -> bool:
-    """Whether a host is on its way out of the pool that it still belongs to."""
+    """Whether a host is out for a move and still belongs to the pool that it leaves."""
     return host.out is not None and host.out.to_pool is not None and not is_moved(host)
 
 
--- a/clementinespar/pools/failures.py
+++ b/clementinespar/pools/failures.py
@@ -6,19 +6,20 @@
 from clementinespar.platform import service as platform_service
 from clementinespar.pools import state
 
-# The list lags by seconds, so shorter absences are normal.
+# The host list lags by seconds, so shorter absences are normal.
 MISSING_BOUND_S = 15.0
-# A host that is out reboots for minutes and is then not listed.
+# A host that is out of service reboots for minutes and is not listed meanwhile.
 MISSING_WHILE_OUT_BOUND_S = 900.0
-# Longer than the bound for failures, so that a host that comes and goes stays failed.
+# Longer than the bound for failures, so that a flapping host stays failed.
 PRESENT_BOUND_S = 30.0
-# Time without a new list proves nothing about hosts, so longer gaps start over.
+# After a longer gap between lists, absences and recoveries are measured anew: the
+# state of the hosts during the gap is not known.
 MAX_GAP_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Findings:
-    """Hosts whose recorded condition no longer agrees with the lists."""
+    """Hosts whose recorded condition differs from the host lists."""
 
     failed_ids: tuple[str, ...] = ()
     recovered_ids: tuple[str, ...] = ()
@@ -27,15 +28,17 @@
 class FailureDetector:
     """Compares each new host list with the folded state.
 
-    Only the platform's own times of the lists count. A list that was read before does
-    not, nor does one from before a gap.
+    Time is measured between the platform's timestamps of the lists. Lists that are not
+    newer than the last one have no effect.
     """
 
-    _observed_ms: int | None  # time of the last list that was examined
-    # By host id and operation, list time of the first absence: an absence during a
-    # reboot says nothing about the time after it.
+    _observed_ms: int | None  # timestamp of the last list that was processed
+    # Timestamp of the first list without a host, by host id and operation id, so that
+    # an absence during a reboot does not count after it.
     _missing_since_ms: dict[tuple[str, str], int]
-    _present_since_ms: dict[str, int]  # by host id, of failed hosts seen live again
+    _present_since_ms: dict[
+        str, int
+    ]  # by host id, for failed hosts listed as live again
 
     def __init__(self) -> None:
         self._observed_ms = None
@@ -47,7 +50,7 @@
         host_list: platform_service.HostList,
         hosts_by_id: Mapping[str, state.HostState],
     ) -> Findings:
-        """Take in a list and return what it proves."""
+        """Process a host list and return the hosts that have failed or recovered."""
         observed_ms = host_list.observed_ms
         if self._observed_ms is None or observed_ms - self._observed_ms > (
             MAX_GAP_S * 1000
@@ -58,7 +61,7 @@
             return Findings()
         self._observed_ms = observed_ms
         if not host_list.hosts_by_id:
-            # An empty list is a fault of the list rather than of every host.
+            # An empty list is more likely a fault of the platform than of every host.
             return Findings()
         failed_ids: list[str] = []
         recovered_ids: list[str] = []
--- a/clementinespar/pools/messages.py
+++ b/clementinespar/pools/messages.py
@@ -10,7 +10,7 @@
 class HostTakenOut(base.Record):
     """Takes a host out of service; ``record_id`` becomes the operation id.
 
-    The fold refuses the record if the pool's availability budget would not hold.
+    The fold refuses the record if it would break the pool's availability budget.
     ``host_revision`` is the offset of the last record that changed the host, or -1.
     """
 
@@ -40,10 +40,10 @@
 
 
 class HostFailed(base.Record):
-    """States that a host was seen as failed; it counts against the budget.
+    """Marks a host as failed; it then counts against the budget.
 
     With ``host_revision``, the record takes effect only if no other record has changed
-    the host since, so that an observation made before a pause has no effect.
+    the host since. A node that was paused thus cannot apply an outdated observation.
     """
 
     kind: Literal["host_failed"] = "host_failed"
@@ -52,7 +52,7 @@
 
 
 class HostRecovered(base.Record):
-    """States that a failed host works again; conditional like `HostFailed`."""
+    """Marks a failed host as working again; conditional like `HostFailed`."""
 
     kind: Literal["host_recovered"] = "host_recovered"
     host_id: str
--- a/clementinespar/pools/planning.py
+++ b/clementinespar/pools/planning.py
@@ -1,4 +1,4 @@
-"""What the planners of waves and of capacity have in common."""
+"""Functions shared by the planners of waves and capacity."""
 
 import dataclasses
 
@@ -17,21 +17,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Basis:
-    """Document, hosts and observation that a decision rests on."""
+class PlanningInputs:
+    """Document, hosts and observation that a plan is computed from."""
 
     document: model.Document
     pools: state.PoolsState
     observation: availability.Observation
 
 
-def basis_of(
+def planning_inputs(
     source: fleet_source.FleetSource,
     host_list: platform_service.HostListSource,
     demand: capacity_demand.DemandSource,
     environment: document_messages.Environment,
-) -> Basis | None:
-    """Return the basis of a decision under an environment's document, if it has one.
+) -> PlanningInputs | None:
+    """Return the inputs of a plan under an environment's document, if it has one.
 
     The trial document is evaluated against a copy of the hosts, so its plan shows what
     the document would do if it were promoted now.
@@ -47,22 +47,25 @@
     observation = availability.observe(
         pools, host_list, demand.ejected_host_ids(), fleet.log_time_ms
     )
-    return Basis(in_force.document, pools, observation)
+    return PlanningInputs(in_force.document, pools, observation)
 
 
 async def append_decision(
     appender: appending.RecordAppender,
     record: base.Record,
-    what: str,
+    description: str,
     log: logbook.Logger,
 ) -> None:
-    """Append a decision; a later round decides again if it has no effect."""
+    """Append the record of a decision.
+
+    Failures are only logged, because a later round decides again.
+    """
     try:
         result = await appender.append(record, pool_operations.APPEND_TIMEOUT_S)
     except errors.ClementinesparError as error:
-        log.warning("{}: not appended: {}", what, error)
+        log.warning("{}: not appended: {}", description, error)
         return
     if result.code == codes.ResultCode.OK:
-        log.info("{}", what)
+        log.info("{}", description)
     else:
-        log.notice("{}: no effect: {}", what, result.code.name)
+        log.notice("{}: no effect: {}", description, result.code.name)
--- a/clementinespar/pools/state.py
+++ b/clementinespar/pools/state.py
@@ -10,7 +10,7 @@
 
 NO_REVISION = -1  # revision of a host that no record has changed yet
 
-_REMOVED_LENGTH = 1_000  # removed hosts remembered; bounds the state and its snapshots
+_MAX_REMOVED_HOSTS = 1_000  # bounds the size of the state and its snapshots
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -18,7 +18,7 @@
     """Why a host is out of service."""
 
     operation_id: str  # record id of host_taken_out; "@offset" follows after a restart
-    offset: int  # offset of the record that began it: fencing token of host actions
+    offset: int  # offset of that record, the fencing token of host actions
     reason: messages.OutReason
     author: str  # node that took the host out
     since_ms: int  # log time
@@ -53,8 +53,8 @@
     """Hosts by id, with an index by pool."""
 
     hosts_by_id: dict[str, HostState] = dataclasses.field(default_factory=dict)
-    # Hosts that a document removed while they were out, oldest first. One that comes
-    # back is still drained or rebooting, so it must not count as in service at once.
+    # Hosts that a document removed while they were out, oldest first. A host that a
+    # later document adds again is still drained or rebooting, so it is not in service.
     removed_out_by_host_id: dict[str, HostOut] = dataclasses.field(default_factory=dict)
     # Values are ordered sets: dicts whose values are unused.
     host_ids_by_pool: dict[str, dict[str, None]] = dataclasses.field(
@@ -76,24 +76,24 @@
     def members_after_moves(self, pool: str) -> list[HostState]:
         """Return the hosts that belong to a pool once all moves are complete."""
         staying = [h for h in self.hosts_of(pool) if not budget.is_leaving(h)]
-        coming = [
+        incoming = [
             host
             for host in self.hosts_by_id.values()
             if host.out is not None
             and host.out.to_pool == pool
             and budget.is_leaving(host)
         ]
-        return staying + coming
+        return staying + incoming
 
     def set_pool(self, host: HostState, pool: str) -> None:
-        """Move a host to a pool and keep the index in step."""
+        """Move a host to a pool and update the index."""
         self.host_ids_by_pool.get(host.pool, {}).pop(host.host_id, None)
         host.pool = pool
         self.host_ids_by_pool.setdefault(pool, {})[host.host_id] = None
 
 
 def apply_document(state: PoolsState, document: model.Document, offset: int) -> None:
-    """Bring the hosts in line with a production document that came into force.
+    """Update the hosts to match a production document that came into force.
 
     New hosts join their home pool, hosts that the document no longer names leave, and
     hosts in a pool that no longer exists join their home pool. Other hosts stay where
@@ -101,9 +101,9 @@
 
     A host in service whose pool no longer exists stays in service, because renaming a
     pool must not take out all of its hosts at once. It becomes due for maintenance,
-    which reboots it into its home pool within the budget. A host that is out goes on
-    under a new operation id and fencing offset, because the steps done so far prepared
-    it for a pool that is gone.
+    which reboots it into its home pool within the budget. The operation of a host that
+    is out continues under a new operation id and fencing offset, because the steps done
+    so far prepared the host for a pool that no longer exists.
     """
     home_by_host = documents_state.home_pool_by_host(document)
     for host_id in [i for i in state.hosts_by_id if i not in home_by_host]:
@@ -111,7 +111,7 @@
         state.host_ids_by_pool.get(host.pool, {}).pop(host_id, None)
         if host.out is not None:
             state.removed_out_by_host_id[host_id] = host.out
-    for host_id in list(state.removed_out_by_host_id)[:-_REMOVED_LENGTH]:
+    for host_id in list(state.removed_out_by_host_id)[:-_MAX_REMOVED_HOSTS]:
         del state.removed_out_by_host_id[host_id]
     for host_id, home in home_by_host.items():
         place = document.hosts[host_id]
@@ -179,7 +179,7 @@
         return codes.ResultCode.HOST_ALREADY_OUT
     if host.revision != record.host_revision:
         return codes.ResultCode.HOST_REVISION_CONFLICT
-    code = _check_reason(state, document, record, host)
+    code = _check_take_out(state, document, record, host)
     if code != codes.ResultCode.OK:
         return code
     host.out = HostOut(
@@ -195,13 +195,13 @@
     return codes.ResultCode.OK
 
 
-def _check_reason(
+def _check_take_out(
     state: PoolsState,
     document: model.Document,
     record: messages.HostTakenOut,
     host: HostState,
 ) -> codes.ResultCode:
-    """Check what depends on why a host is to be taken out."""
+    """Check the conditions that depend on the reason of a take-out."""
     survive: budget.Survive = "none"
     if record.reason == "maintenance":
         if record.to_pool is not None:
@@ -262,7 +262,7 @@
     if host.out is None or host.out.operation_id != record.operation_id:
         return codes.ResultCode.HOST_NOT_OUT
     if budget.is_leaving(host):
-        # A drained host that has not changed its pool yet is not fit for either pool.
+        # A drained host that has not yet changed pool is not prepared for either pool.
         return codes.ResultCode.HOST_REVISION_CONFLICT
     if host.out.reason == "maintenance":
         host.maintained_ms = entry.timestamp_ms
@@ -274,7 +274,7 @@
 def apply_failed(
     state: PoolsState, record: messages.HostFailed, entry: log_service.LogEntry
 ) -> codes.ResultCode:
-    """Count a host as failed."""
+    """Mark a host as failed."""
     host = state.hosts_by_id.get(record.host_id)
     if host is None:
         return codes.ResultCode.HOST_UNKNOWN
@@ -289,7 +289,7 @@
 def apply_recovered(
     state: PoolsState, record: messages.HostRecovered, entry: log_service.LogEntry
 ) -> codes.ResultCode:
-    """Count a host as working again."""
+    """Mark a failed host as recovered."""
     host = state.hosts_by_id.get(record.host_id)
     if host is None:
         return codes.ResultCode.HOST_UNKNOWN
--- a/clementinespar/waves/messages.py
+++ b/clementinespar/waves/messages.py
@@ -17,7 +17,7 @@
 
 
 class WaveFinished(base.Record):
-    """Ends a wave, complete or given up."""
+    """Ends a wave, complete or not."""
 
     kind: Literal["wave_finished"] = "wave_finished"
     wave_id: str
--- a/clementinespar/waves/planner.py
+++ b/clementinespar/waves/planner.py
@@ -1,4 +1,4 @@
-"""Decides which maintenance waves start, which hosts leave service, and which end.
+"""Decides which waves start or end, and which hosts are taken out for maintenance.
 
 The decision is a pure function of the folded state, the document and the node's
 observation of hosts. The fold checks each resulting record again.
@@ -20,20 +20,20 @@
 from clementinespar.waves import state as waves_state
 
 _DAY_MS = 86_400_000
-# Hosts are due after this share of the interval. The rest is the time in which the
-# waves of all pools take their turns, so that no host exceeds the interval.
+# Hosts are due after this share of the interval. In the rest, the waves of all pools
+# run one after another, so that no host exceeds the interval.
 DUE_SHARE = 0.75
-# Waves run in this share of the pools at a time, scaled by the weight of roll-out time
-# against waiting. Failures are correlated within a wave, so most pools stay unexposed.
-# A sixteenth left users with 5 pools one pool at a time whatever their weights said.
+# Share of the pools in which waves run at a time, scaled by the weight of roll-out time
+# against waiting. Failures are correlated within a wave, so most pools have none. With
+# 1/16, a fleet of 5 pools would run one wave at a time whatever the weights.
 POOLS_SHARE = 1 / 5
-# A wave that makes no end is given up, so that other pools get their turn.
+# A wave that runs for longer is given up, so that waves of other pools can start.
 WAVE_LIMIT_MS = 12 * 3_600_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Situation:
-    """All that the decision depends on."""
+    """Inputs of the decision."""
 
     document: model.Document
     pools: pools_state.PoolsState
@@ -44,10 +44,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WaveStart:
-    """A wave to start."""
+    """Decision to start a wave."""
 
     pool: str
-    host_ids: tuple[str, ...]  # in the order of their lateness
+    host_ids: tuple[str, ...]  # in the order of maintenance
 
     def to_record(self, author: str, issued_ms: int) -> base.Record:
         """Return the record that starts the wave."""
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TakeOut:
-    """A host to take out for maintenance."""
+    """Decision to take a host out for maintenance."""
 
     host_id: str
     pool: str
@@ -85,7 +85,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WaveEnd:
-    """A wave to end."""
+    """Decision to end a wave."""
 
     wave_id: str
     pool: str
@@ -104,7 +104,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WavePlan:
-    """What the next round does, with an explanation for each pool."""
+    """Decisions of the next round, with an explanation for each pool."""
 
     starts: tuple[WaveStart, ...] = ()
     take_outs: tuple[TakeOut, ...] = ()
@@ -115,12 +115,12 @@
 
     @property
     def decisions(self) -> tuple[WaveEnd | WaveStart | TakeOut, ...]:
-        """All decisions, in the order in which they take effect."""
+        """All decisions, in the order in which they are appended."""
         return (*self.ends, *self.starts, *self.take_outs)
 
 
 def plan(situation: Situation) -> WavePlan:
-    """Return what the next round does."""
+    """Return the plan of the next round."""
     stop = _check_stop(situation)
     starts: list[WaveStart] = []
     take_outs: list[TakeOut] = []
@@ -140,26 +140,26 @@
         take_out, explanations[pool] = _next_host(situation, wave, stop)
         if take_out is not None:
             take_outs.append(take_out)
-    places = max_running_waves(situation.document) - len(running)
-    for pool in _pools_by_lateness(situation):
+    startable_waves = max_running_waves(situation.document) - len(running)
+    for pool in _most_overdue_pools_first(situation):
         if pool in running:
             continue
-        start, explanations[pool] = _next_wave(situation, pool, stop, places)
+        start, explanations[pool] = _next_wave(situation, pool, stop, startable_waves)
         if start is not None:
             starts.append(start)
-            places -= 1
+            startable_waves -= 1
     return WavePlan(tuple(starts), tuple(take_outs), tuple(ends), explanations)
 
 
 def max_running_waves(document: model.Document) -> int:
     """Return in how many pools a wave may run at a time."""
     share = POOLS_SHARE * document.weights.ratio("roll_out", "short_wait")
-    # Rounded first: 5 * (1 / 5 * 3.0) is slightly more than 3.
+    # Rounded before ceil: 5 * (1 / 5 * 3.0) is slightly more than 3.
     return max(1, math.ceil(round(len(document.pools) * share, 6)))
 
 
 def due_in_ms(document: model.Document, host: pools_state.HostState, now: int) -> int:
-    """Return how long a host may still go without maintenance; negative if late."""
+    """Return how long a host may still go without maintenance; negative if overdue."""
     interval_ms = int(document.maintenance.every_days * _DAY_MS)
     return host.maintained_ms + interval_ms - now
 
@@ -171,14 +171,14 @@
 
 
 def _check_stop(situation: Situation) -> codes.ResultCode:
-    """Tell whether and why no host may be taken out at all."""
+    """Return ``OK``, or why no host of any pool may be taken out."""
     maintenance = situation.document.maintenance
     if maintenance.paused:
         return codes.ResultCode.WAVE_PAUSED
     return availability.check_list_age(maintenance, situation.observation)
 
 
-def _stop_sentence(situation: Situation, stop: codes.ResultCode) -> str:
+def _describe_stop(situation: Situation, stop: codes.ResultCode) -> str:
     if stop == codes.ResultCode.WAVE_PAUSED:
         return "the document pauses maintenance"
     limit_s = situation.document.maintenance.host_list_max_age_s
@@ -200,14 +200,14 @@
 
 
 def _end_reason(situation: Situation, wave: waves_state.Wave) -> str | None:
-    """Return why a wave is over, or None while it goes on."""
+    """Return why a wave ends, or None if it continues."""
     given_up: list[str] = []
     is_waiting = False
     for host_id in wave.host_ids:
         host = situation.pools.hosts_by_id.get(host_id)
         if host is None or host.pool != wave.pool or _is_moving(host):
             given_up.append(f"{host_id} left the pool")
-        elif _is_out_in(host, wave):
+        elif _is_out_for(host, wave):
             is_waiting = True
         elif host.maintained_ms < wave.started_ms:
             if host.failed_since_ms is not None:
@@ -228,21 +228,21 @@
     return host.out is not None and host.out.reason == "move"
 
 
-def _is_out_in(host: pools_state.HostState, wave: waves_state.Wave) -> bool:
+def _is_out_for(host: pools_state.HostState, wave: waves_state.Wave) -> bool:
     return host.out is not None and host.out.wave_id == wave.wave_id
 
 
 def _next_host(
     situation: Situation, wave: waves_state.Wave, stop: codes.ResultCode
 ) -> tuple[TakeOut | None, explanation.Explanation]:
-    """Return the next host of a wave to take out, with the explanation."""
+    """Return the next host of a wave to take out, if any, with an explanation."""
     pool = wave.pool
     hosts = [
         situation.pools.hosts_by_id[host_id]
         for host_id in wave.host_ids
         if host_id in situation.pools.hosts_by_id
     ]
-    out = [host.host_id for host in hosts if _is_out_in(host, wave)]
+    out = [host.host_id for host in hosts if _is_out_for(host, wave)]
     done = [
         host for host in hosts if not host.out and host.maintained_ms >= wave.started_ms
     ]
@@ -251,12 +251,12 @@
         facts.append("out now: " + ", ".join(out))
     waits_for = "the hosts that are out to return" if out else None
     if stop != codes.ResultCode.OK:
-        facts.insert(0, _stop_sentence(situation, stop))
+        facts.insert(0, _describe_stop(situation, stop))
         waits_for = waits_for or "the stop to end"
         return None, _explain(pool, "stopped", waits_for, stop, *facts)
-    failed = [host.host_id for host in hosts if _has_failed_in(host, wave)]
+    failed = [host.host_id for host in hosts if _has_failed_during(host, wave)]
     if failed:
-        # What this wave does may be the cause, so no other host is exposed to it.
+        # The maintenance may be the cause, so no further host is taken out for it.
         facts.insert(0, "failed during the wave: " + ", ".join(failed))
         waits_for = "these hosts to recover, or the wave to be given up"
         return None, _explain(
@@ -270,7 +270,7 @@
         and host.maintained_ms < wave.started_ms
         and budget.is_serving(host, unavailable)
     ]
-    for host in _in_order(situation, candidates):
+    for host in _maintenance_order(situation, candidates):
         if _check_host(situation, host) == codes.ResultCode.OK:
             take_out = TakeOut(host.host_id, pool, host.revision, wave.wave_id)
             facts.insert(0, f"{host.host_id} is next")
@@ -280,7 +280,7 @@
     if not candidates:
         waits_for = waits_for or "hosts of the wave to be available again"
         return None, _explain(pool, "running", waits_for, codes.ResultCode.OK, *facts)
-    facts.insert(0, _budget_sentence(situation, pool))
+    facts.insert(0, _describe_budget(situation, pool))
     return None, _explain(
         pool,
         "waiting",
@@ -290,24 +290,24 @@
     )
 
 
-def _has_failed_in(host: pools_state.HostState, wave: waves_state.Wave) -> bool:
-    """Whether a host failed after this wave had taken it out."""
+def _has_failed_during(host: pools_state.HostState, wave: waves_state.Wave) -> bool:
+    """Return whether a host failed after this wave had taken it out."""
     if host.failed_since_ms is None or host.failed_since_ms < wave.started_ms:
         return False
-    return _is_out_in(host, wave) or host.maintained_ms >= wave.started_ms
+    return _is_out_for(host, wave) or host.maintained_ms >= wave.started_ms
 
 
-def _in_order(
+def _maintenance_order(
     situation: Situation, candidates: list[pools_state.HostState]
 ) -> Iterator[pools_state.HostState]:
-    """Yield hosts: late ones first by days, then spread over failure domains.
+    """Yield hosts by overdue days, then spread over failure domains.
 
-    Each host counts for the spread as soon as it is yielded.
+    Each yielded host counts as out of service for the spread of the following ones.
     """
     unavailable = situation.observation.unavailable_by_host_id
     out_by_domain: collections.Counter[tuple[str, ...]] = collections.Counter()
 
-    def count(host: pools_state.HostState) -> None:
+    def count_as_out(host: pools_state.HostState) -> None:
         out_by_domain[(host.data_centre,)] += 1
         out_by_domain[(host.data_centre, host.rack)] += 1
 
@@ -324,19 +324,19 @@
     for pool in {host.pool for host in candidates}:
         for host in situation.pools.hosts_of(pool):
             if not budget.is_serving(host, unavailable):
-                count(host)
+                count_as_out(host)
     remaining = list(candidates)
     while remaining:
         chosen = min(remaining, key=key)
         remaining.remove(chosen)
-        count(chosen)
+        count_as_out(chosen)
         yield chosen
 
 
 def _next_wave(
-    situation: Situation, pool: str, stop: codes.ResultCode, places: int
+    situation: Situation, pool: str, stop: codes.ResultCode, startable_waves: int
 ) -> tuple[WaveStart | None, explanation.Explanation]:
-    """Return the wave that a pool without one starts, with the explanation."""
+    """Return the wave to start in a pool without one, if any, with an explanation."""
     unavailable = situation.observation.unavailable_by_host_id
     due = [
         host
@@ -348,10 +348,10 @@
         return None, _explain(pool, "idle", None, codes.ResultCode.OK, "no host is due")
     facts = [f"{len(due)} hosts are due, {len(ready)} of them in service"]
     if stop != codes.ResultCode.OK:
-        facts.insert(0, _stop_sentence(situation, stop))
+        facts.insert(0, _describe_stop(situation, stop))
         return None, _explain(pool, "stopped", "the stop to end", stop, *facts)
     if not any(_check_host(situation, h) == codes.ResultCode.OK for h in ready):
-        facts.insert(0, _budget_sentence(situation, pool))
+        facts.insert(0, _describe_budget(situation, pool))
         return None, _explain(
             pool,
             "waiting",
@@ -359,9 +359,11 @@
             codes.ResultCode.BUDGET_EXCEEDED,
             *facts,
         )
-    if places <= 0:
+    if startable_waves <= 0:
         limit = max_running_waves(situation.document)
-        facts.insert(0, f"waves run in {limit} pools at a time, the latest first")
+        facts.insert(
+            0, f"waves run in {limit} pools at a time, the most overdue pool first"
+        )
         return None, _explain(
             pool,
             "waiting",
@@ -370,14 +372,14 @@
             *facts,
         )
     count = situation.document.maintenance.max_wave_hosts
-    chosen = itertools.islice(_in_order(situation, ready), count)
+    chosen = itertools.islice(_maintenance_order(situation, ready), count)
     return WaveStart(pool, tuple(host.host_id for host in chosen)), _explain(
         pool, "starting", None, codes.ResultCode.OK, *facts
     )
 
 
-def _pools_by_lateness(situation: Situation) -> list[str]:
-    """Return the pools of the document, the one with the latest host first."""
+def _most_overdue_pools_first(situation: Situation) -> list[str]:
+    """Return the pools of the document, the one with the most overdue host first."""
 
     def key(pool: str) -> tuple[float, str]:
         hosts = situation.pools.hosts_of(pool)
@@ -386,7 +388,7 @@
     return sorted(situation.document.pools, key=key)
 
 
-def _budget_sentence(situation: Situation, pool: str) -> str:
+def _describe_budget(situation: Situation, pool: str) -> str:
     hosts = situation.pools.hosts_of(pool)
     unavailable = situation.observation.unavailable_by_host_id
     serving = sum(budget.is_serving(host, unavailable) for host in hosts)
--- a/clementinespar/waves/runner.py
+++ b/clementinespar/waves/runner.py
@@ -1,4 +1,4 @@
-"""Runs maintenance waves in rounds, on the node that holds the duty."""
+"""Runs maintenance waves in rounds, on the lease holder of the duty."""
 
 import asyncio
 import math
@@ -19,7 +19,7 @@
 
 
 class WaveRunner:
-    """Starts waves, takes their hosts out, carries them through, and ends waves.
+    """Starts and ends waves, takes their hosts out and advances their operations.
 
     Parameters
     ----------
@@ -28,21 +28,21 @@
     appender : appending.RecordAppender
         Appends the decisions.
     operations : pool_operations.HostOperations
-        Carries hosts that are out.
+        Advances the operations of hosts that are out.
     host_list : platform_service.HostListSource
         Newest host list of this node.
     demand : capacity_demand.DemandSource
-        Tells which hosts are ejected.
+        Source of the ejected hosts.
     author : str
         Name of this node.
     """
 
-    _source: fleet_source.FleetSource  # the folded state
-    _appender: appending.RecordAppender  # appends the decisions
-    _operations: pool_operations.HostOperations  # carries hosts that are out
-    _host_list: platform_service.HostListSource  # newest host list of this node
-    _demand: capacity_demand.DemandSource  # tells which hosts are ejected
-    _author: str  # name of this node
+    _source: fleet_source.FleetSource
+    _appender: appending.RecordAppender
+    _operations: pool_operations.HostOperations
+    _host_list: platform_service.HostListSource
+    _demand: capacity_demand.DemandSource
+    _author: str
     _planned_at: float  # loop time of the last decision
 
     def __init__(
@@ -63,7 +63,7 @@
         self._planned_at = -math.inf
 
     async def run_round(self) -> codes.ResultCode:
-        """Carry on what is out, then do what the plan says.
+        """Advance the operations of hosts that are out, then append the next decisions.
 
         Returns
         -------
@@ -98,29 +98,29 @@
         return codes.ResultCode.OK
 
     def plan(self, environment: document_messages.Environment) -> planner.WavePlan:
-        """Return what the next round does under an environment's document.
+        """Return the plan of the next round under an environment's document.
 
         The trial document is evaluated against a copy of the hosts, so its plan shows
         what the document would do if it were promoted now.
         """
-        basis = planning.basis_of(
+        inputs = planning.planning_inputs(
             self._source, self._host_list, self._demand, environment
         )
-        if basis is None:
+        if inputs is None:
             return planner.WavePlan()
         fleet = self._source.state
         return planner.plan(
             planner.Situation(
-                basis.document,
-                basis.pools,
+                inputs.document,
+                inputs.pools,
                 fleet.waves,
                 fleet.log_time_ms,
-                basis.observation,
+                inputs.observation,
             )
         )
 
     def explain(self, pool: str) -> explanation.Explanation:
-        """Explain what happens in the wave of a pool, or why it has none."""
+        """Explain the state of a pool's wave, or why the pool has none."""
         found = self.plan("production").explanations_by_pool.get(pool)
         if found is not None:
             return found
--- a/clementinespar/waves/state.py
+++ b/clementinespar/waves/state.py
@@ -9,7 +9,7 @@
 from clementinespar.pools import state as pools_state
 from clementinespar.waves import messages
 
-_FINISHED_LENGTH = 50  # finished waves kept for the operators' status command
+_MAX_FINISHED_WAVES = 50  # kept for the operators' status command
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(slots=True)
 class WavesState:
-    """Running waves by pool, and recent ended ones."""
+    """Running waves by pool, and the waves that ended last."""
 
     waves_by_pool: dict[str, Wave] = dataclasses.field(default_factory=dict)
     finished: list[FinishedWave] = dataclasses.field(default_factory=list)
@@ -100,7 +100,7 @@
 ) -> None:
     del state.waves_by_pool[wave.pool]
     state.finished.append(FinishedWave(wave, entry.timestamp_ms, reason))
-    del state.finished[:-_FINISHED_LENGTH]
+    del state.finished[:-_MAX_FINISHED_WAVES]
 
 
 def check_maintenance(
@@ -108,7 +108,7 @@
     document: model.Document | None,
     record: pool_messages.HostTakenOut,
 ) -> codes.ResultCode:
-    """Tell whether a running wave of the host's pool covers a maintenance."""
+    """Check that a running wave of the host's pool covers a maintenance."""
     wave = state.waves_by_pool.get(record.pool)
     if wave is None or wave.wave_id != record.wave_id:
         return codes.ResultCode.WAVE_UNKNOWN
