--- a/clementinespar/claims/tests/test_claimer.py
+++ b/clementinespar/claims/tests/test_claimer.py
@@ -1,4 +1,4 @@
-"""Tests of claims through the log under its faults."""
+"""Tests of claims on a fake log with faults."""
 
 import asyncio
 import contextlib
@@ -22,7 +22,7 @@
     return claims_claimer.Claimer(node.appender, node.follower, node.name)
 
 
-def holders(node: Node) -> list[str]:
+def claimed_request_ids(node: Node) -> list[str]:
     return list(node.follower.state.claims.claims_by_request_id)
 
 
@@ -38,7 +38,7 @@
     for start in range(0, 400, 4):
         assert results[start : start + 4].count(OK) == 1
         assert results[start : start + 4].count(ALREADY_CLAIMED) == 3
-    assert log.append_count <= 4, "claims share appends"
+    assert log.append_count <= 4, "claims must share appends"
 
 
 @pytest.mark.parametrize(
@@ -57,12 +57,12 @@
 async def test_ids_that_cannot_be_claimed(
     node: Node, request_id: str, age_ms: int | None, code: codes.ResultCode
 ) -> None:
-    # Guards against a bad id that fails the whole batch or runs without a claim.
+    # Guards against an invalid id that fails the whole batch or is accepted.
     log = node.log
     claimer = make_claimer(node)
-    head = "" if age_ms is None else str(log.now_ms() - age_ms)
+    prefix = "" if age_ms is None else str(log.now_ms() - age_ms)
     results = await asyncio.gather(
-        claimer.claim(head + request_id, 5.0),
+        claimer.claim(prefix + request_id, 5.0),
         claimer.claim(identifiers.new_id(log.now_ms()), 5.0),
     )
     assert list(results) == [code, OK]
@@ -78,7 +78,7 @@
         (fake_log.Faults(down=True), CLAIM_UNAVAILABLE),
         (fake_log.Faults(silent=True), CLAIM_UNAVAILABLE),
         (fake_log.Faults(slow_ms=30_000.0), CLAIM_UNAVAILABLE),
-        # The claim wins after the caller has given up.
+        # The claim may win after the caller has timed out.
         (fake_log.Faults(lose_replies=1, late_ms=20_000.0, down=False), None),
     ],
 )
@@ -86,8 +86,8 @@
 async def test_claim_under_faults(
     node_a: Node, node_b: Node, faults: fake_log.Faults, code: codes.ResultCode | None
 ) -> None:
-    # Guards against a claim that counts as won without the fold, and against one that
-    # wins late and blocks its request although the request did not run.
+    # Guards against a claim that is reported as won although the fold does not show it,
+    # and against one that wins late and blocks a request that did not run.
     log = node_a.log
     claimer_a, claimer_b = make_claimer(node_a), make_claimer(node_b)
     await claimer_a.claim(identifiers.new_id(log.now_ms()), 5.0)
@@ -97,14 +97,14 @@
     assert result == code or code is None
     log.faults = fake_log.Faults()
     await asyncio.sleep(60.0)
-    # Node A gave up, so node B gets the request; or A has it for ever.
+    # Either node A has won the claim, or node B can win it now.
     expected = ALREADY_CLAIMED if result == OK else OK
     assert await claimer_b.claim(request_id, 5.0) == expected
 
 
 def test_cancelled_and_late_claims_are_released() -> None:
-    # Guards against a caller that hangs up while its claim is on the way: the request
-    # would stay claimed although nobody runs it.
+    # Guards against a request that stays claimed but never runs, because its caller
+    # disconnected during the append of its claim.
     async def main() -> None:
         for delay_s in (0.0, 0.003, 0.007, 0.02, 0.2, 0.9):
             log = fake_log.FakeLog()
@@ -119,9 +119,9 @@
                 claim.cancel()
                 await asyncio.gather(claim, return_exceptions=True)
                 await asyncio.sleep(30.0)
-                assert (request_id in holders(node)) == is_won
+                assert (request_id in claimed_request_ids(node)) == is_won
                 if delay_s == 0.0:
-                    assert log.append_count == 1, "nothing is sent for nobody"
+                    assert log.append_count == 1, "the cancelled claim was appended"
 
     paused_clock.run(main())
 
@@ -129,17 +129,16 @@
 def test_claim_that_wins_while_its_caller_is_cancelled_is_released(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against the moment between the result and the caller's next step.
+    # Guards against a claim that stays held because its caller is cancelled right after
+    # the result is set.
     async def main() -> None:
         outcome = claims_claimer.Claimer._outcome
 
-        def cancel_before_the_next_step(*arguments: Any) -> codes.ResultCode:
+        def cancel_after_the_result(*arguments: Any) -> codes.ResultCode:
             asyncio.get_running_loop().call_soon(claim.cancel)
             return outcome(*arguments)
 
-        monkeypatch.setattr(
-            claims_claimer.Claimer, "_outcome", cancel_before_the_next_step
-        )
+        monkeypatch.setattr(claims_claimer.Claimer, "_outcome", cancel_after_the_result)
         log = fake_log.FakeLog()
         async with log_nodes.running_node(log) as node:
             claimer = make_claimer(node)
@@ -147,9 +146,9 @@
             claim = asyncio.create_task(claimer.claim(request_id, 5.0))
             await asyncio.gather(claim, return_exceptions=True)
             assert claim.cancelled()
-            assert holders(node) == [request_id]
+            assert claimed_request_ids(node) == [request_id]
             await claimer.finish(5.0)
-            assert not holders(node)
+            assert not claimed_request_ids(node)
 
     paused_clock.run(main())
 
@@ -158,13 +157,12 @@
 async def test_released_request_can_be_claimed_again(
     node_a: Node, node_b: Node
 ) -> None:
-    # Guards against a retry of a request that certainly did not run and that is
-    # answered as unknown.
+    # Guards against a retried request that is refused although it cannot have run.
     log = node_a.log
     claimer_a, claimer_b = make_claimer(node_a), make_claimer(node_b)
     request_id = identifiers.new_id(log.now_ms())
     assert await claimer_a.claim(request_id, 5.0) == OK
-    await claimer_b.release(request_id)  # not its own: no effect
+    await claimer_b.release(request_id)  # no effect: another node has the claim
     await claimer_b.finish(5.0)
     assert await claimer_b.claim(request_id, 5.0) == ALREADY_CLAIMED
     await claimer_a.release(request_id)
@@ -179,7 +177,7 @@
 async def test_restarted_node_does_not_release_claims_of_its_predecessor(
     node: Node,
 ) -> None:
-    # Guards against a second run of a request that a killed process had dispatched.
+    # Guards against a second run of a request that a crashed process had dispatched.
     log = node.log
     request_id = identifiers.new_id(log.now_ms())
     assert await make_claimer(node).claim(request_id, 5.0) == OK
@@ -187,7 +185,7 @@
     assert await successor.claim(request_id, 5.0) == ALREADY_CLAIMED
     await successor.release(request_id)
     await successor.finish(5.0)
-    assert holders(node) == [request_id]
+    assert claimed_request_ids(node) == [request_id]
 
 
 @pytest.mark.parametrize("pause_s", [1.0, 100.0, 700.0, 2_000.0])
@@ -195,8 +193,8 @@
 async def test_claim_of_a_node_that_sees_its_result_late(
     node_a: Node, node_b: Node, pause_s: float
 ) -> None:
-    # Guards against a second winner while the first has not yet seen that it won. The
-    # first may still win however late, because its claim is never given to another.
+    # Guards against a second winner before the first node has read that it won. The
+    # late result is still valid, because no other claim of the id can win.
     log = node_a.log
     claimer_a, claimer_b = make_claimer(node_a), make_claimer(node_b)
     request_id = identifiers.new_id(log.now_ms())
@@ -210,15 +208,15 @@
     await node_b.appender.append(node_b.duty_record("log moves on"), 5.0)
     assert await claimer_b.claim(request_id, 5.0) != OK
     node_a.access.faults.down = False
-    # Claim and result are forgotten once the log has moved on by 660 s.
+    # The fold drops the claim and the result once log time has advanced by 660 s.
     expected = CLAIM_UNAVAILABLE if pause_s > 660.0 else OK
     assert await claim == expected
 
 
-def test_nodes_share_a_log_that_refuses_appends() -> None:
-    # Guards against nodes that starve while others have the log's rate. Of loop time,
-    # the p99 is 0.16 s, and was 0.60 s when refusals doubled the delay and successes
-    # halved it.
+def test_nodes_share_the_append_rate_of_the_log() -> None:
+    # Guards against nodes that starve while others use up the append rate of the log.
+    # The p99 in loop time is 0.16 s; it was 0.60 s when refusals doubled the retry
+    # delay and successes halved it.
     async def main() -> None:
         log = fake_log.FakeLog(max_appends_per_s=300)
         log.faults.slow_ms = 2.0
@@ -232,7 +230,7 @@
 
         async def claim_steadily(number: int) -> None:
             claimer = make_claimer(nodes[number])
-            await asyncio.sleep(number * 0.0011)  # nodes are not in step
+            await asyncio.sleep(number * 0.0011)  # nodes do not start at once
             async with asyncio.TaskGroup() as group:
                 for _ in range(500):
                     group.create_task(claim_once(claimer))
@@ -254,7 +252,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_memory_of_won_claims_is_bounded(node: Node) -> None:
-    # Guards against a node that remembers every claim it ever won.
+    # Guards against a node that never drops the claims that it has won.
     log = node.log
     claimer = make_claimer(node)
     for _ in range(20):
--- a/clementinespar/pools/tests/test_invariants.py
+++ b/clementinespar/pools/tests/test_invariants.py
@@ -1,8 +1,7 @@
-"""Random histories of racing planners, failures and documents against the fold.
+"""Random sequences of concurrent planners, failures and documents applied to the fold.
 
-After every record: no accepted host_taken_out leaves a pool below its budget (I1), and
-every host belongs to exactly one pool (I2). Both are counted without the code under
-test.
+After every record, no accepted host_taken_out leaves a pool below its budget (I1), and
+every host belongs to exactly one pool (I2). The checks do not use the code under test.
 """
 
 import collections
@@ -35,10 +34,10 @@
         services=_SERVICES,
         survive="rack",
     ),
-    fleets.make_document(  # pool c is gone and its hosts have a new home
+    fleets.make_document(  # pool c is removed and its hosts have a new home
         {"a": _A, "b": [*_B, *_C]}, min_available=3, services=_SERVICES
     ),
-    fleets.make_document(  # hosts are gone, and others have a new home
+    fleets.make_document(  # some hosts are removed, and others have a new home
         {"a": _A[:5], "b": [*_B[:2], *_C[:2]], "c": [*_B[2:], *_C[2:]]},
         min_available={"a": 4, "b": 2, "c": 1},
         max_out_per_rack=2,
@@ -46,7 +45,7 @@
         survive="data_centre",
         max_wave_hosts=2,
     ),
-    fleets.make_document(  # no host can be spared
+    fleets.make_document(  # no pool can lend a host or take one out
         {"a": _A, "b": _B, "c": _C},
         min_available={"a": 6, "b": 4, "c": 4},
         services=_SERVICES,
@@ -56,12 +55,13 @@
 _HOSTS = st.sampled_from([*_A, *_B, *_C])
 _POOLS = st.sampled_from(["a", "b", "c"])
 _NODES = st.integers(0, 2)
-# "slept": decides on a fresh state, but pauses before it appends.
-_VIEWS = st.sampled_from(["fresh", "fresh", "slept", "stale"])
+# "paused": decides on a fresh state, but pauses before it appends.
+# "stale": decides on the state that it has, and pauses too.
+_VIEWS = st.sampled_from(["fresh", "fresh", "paused", "stale"])
 
 
 class _Node:
-    """A planner whose fold lags behind and whose records wait while it is paused."""
+    """A planner with a possibly outdated fold; its records wait while it is paused."""
 
     def __init__(self) -> None:
         self.state = fleet_state.FleetState()
@@ -86,7 +86,7 @@
 
     @stateful.rule(node=_NODES, view=_VIEWS, missing=st.sets(_HOSTS, max_size=2))
     def plan_waves(self, node: int, view: str, missing: set[str]) -> None:
-        planner = self._wake(node, view)
+        planner = self._prepare(node, view)
         document = planner.state.documents.production
         if document is None:
             return
@@ -111,7 +111,7 @@
     def plan_capacity(
         self, node: int, view: str, slots_a: float, slots_b: float
     ) -> None:
-        planner = self._wake(node, view)
+        planner = self._prepare(node, view)
         document = planner.state.documents.production
         if document is None:
             return
@@ -126,11 +126,13 @@
             0.0,
             availability.Observation(0.0, {}),
         )
-        always = collections.defaultdict(lambda: -math.inf, dict.fromkeys("abc", -1e9))
+        long_ago = collections.defaultdict(
+            lambda: -math.inf, dict.fromkeys("abc", -1e9)
+        )
         plan = capacity_planner.plan(
             situation,
             capacity_planner.compute_needs(situation),
-            capacity_planner.History(always, always),
+            capacity_planner.History(long_ago, long_ago),
         )
         for move in plan.moves:
             self._send(planner, move.to_record("test", self.fold.now_ms))
@@ -139,7 +141,7 @@
     def propose_any_move(
         self, node: int, view: str, host_id: str, to_pool: str
     ) -> None:
-        planner = self._wake(node, view)
+        planner = self._prepare(node, view)
         host = planner.state.pools.hosts_by_id.get(host_id)
         if host is not None:
             self._send(
@@ -168,7 +170,7 @@
     def finish_steps(
         self, node: int, view: str, steps: tuple[type[base.Record], ...]
     ) -> None:
-        planner = self._wake(node, view)
+        planner = self._prepare(node, view)
         for host in planner.state.pools.hosts_by_id.values():
             if host.out is not None:
                 for step in steps:
@@ -182,7 +184,7 @@
                     )
 
     @stateful.rule(node=_NODES, count=st.integers(1, 8), is_reply_lost=st.booleans())
-    def append_waiting(self, node: int, count: int, is_reply_lost: bool) -> None:
+    def append_pending(self, node: int, count: int, is_reply_lost: bool) -> None:
         planner = self.nodes[node]
         for payload in planner.waiting[:count]:
             self._append_payload(payload)
@@ -196,10 +198,10 @@
             if host_id[:length] == seed[:length]:
                 self._append(self.fold.make(messages.HostFailed, host_id=host_id))
 
-    @stateful.rule(but=st.sets(_HOSTS, max_size=2))
-    def recover(self, but: set[str]) -> None:
+    @stateful.rule(still_failed=st.sets(_HOSTS, max_size=2))
+    def recover(self, still_failed: set[str]) -> None:
         for host in list(self.fold.state.pools.hosts_by_id.values()):
-            if host.failed_since_ms is not None and host.host_id not in but:
+            if host.failed_since_ms is not None and host.host_id not in still_failed:
                 self._append(
                     self.fold.make(messages.HostRecovered, host_id=host.host_id)
                 )
@@ -220,14 +222,14 @@
         self.fold.now_ms += seconds * 1000
 
     def teardown(self) -> None:
-        again = fleet_state.FleetState()
+        refolded = fleet_state.FleetState()
         assert [
-            fleet_state.apply_entry(again, entry) for entry in self.fold.entries
+            fleet_state.apply_entry(refolded, entry) for entry in self.fold.entries
         ] == self.codes
-        assert again == self.fold.state
+        assert refolded == self.fold.state
         encoded = fleet_snapshot.encode_state(self.fold.state)
         assert fleet_snapshot.decode_state(encoded) == self.fold.state
-        # Whatever happened, every host can come back into service.
+        # Guards against hosts that can never return to service.
         for host in list(self.fold.state.pools.hosts_by_id.values()):
             if host.out is None:
                 continue
@@ -241,8 +243,8 @@
                 )
             assert host.out is None
 
-    def _wake(self, node: int, view: str) -> _Node:
-        """Return a node whose records go into the log at once if its view is fresh."""
+    def _prepare(self, node: int, view: str) -> _Node:
+        """Return a node; it appends its records at once only if its view is fresh."""
         planner = self.nodes[node]
         planner.is_paused = view != "fresh"
         if view != "stale":
--- a/clementinespar/pools/tests/test_racing_nodes.py
+++ b/clementinespar/pools/tests/test_racing_nodes.py
@@ -1,7 +1,7 @@
-"""Whole nodes that race without leases, with faults of all parts at once.
+"""Tests of nodes that plan concurrently without leases, with faults of all parts.
 
-Three nodes run both planners and carry the same hosts. After the faults end, every host
-must be back in service, in the pool that the log says, and maintained.
+Three nodes run both planners and advance the operations of the same hosts. After the
+faults end, every host must return to service in its pool of the fold, maintained.
 """
 
 import asyncio
@@ -25,15 +25,15 @@
 
 
 def _document(
-    pools: dict[str, list[str]], minimum: int, **more: object
+    pools: dict[str, list[str]], minimum: int, **maintenance: object
 ) -> model.Document:
     return fleets.make_document(
         pools,
         min_available=minimum,
         services=_SERVICES,
-        weights=model.Weights(short_wait=4.0),  # moves after 15 s
+        weights=model.Weights(short_wait=4.0),  # hosts move after a shortage of 15 s
         max_wave_hosts=3,
-        **more,  # type: ignore[arg-type]
+        **maintenance,  # type: ignore[arg-type]
     )
 
 
@@ -47,8 +47,8 @@
 ]
 
 
-class _Chaos:
-    """Faults that start and end at random but repeatable times."""
+class _FaultInjector:
+    """Starts and ends faults at random times that are repeatable by seed."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         platform: fake_platform.FakePlatform,
         nodes: list[fleets.FleetNode],
     ) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.log = log
         self.platform = platform
         self.nodes = nodes
@@ -65,17 +65,17 @@
     async def run(self, duration_s: float) -> None:
         end = asyncio.get_running_loop().time() + duration_s
         while asyncio.get_running_loop().time() < end:
-            await asyncio.sleep(self.chance.uniform(0.5, 6.0))
-            fault = self.chance.choice(
+            await asyncio.sleep(self.rng.uniform(0.5, 6.0))
+            fault = self.rng.choice(
                 [
                     self.fail_hosts,
                     self.recover_hosts,
                     self.recover_hosts,
                     self.lose_replies,
-                    self.stop_platform,
-                    self.stop_log,
-                    self.part_node,
-                    self.lag_list,
+                    self.interrupt_platform,
+                    self.interrupt_log,
+                    self.toggle_log_access,
+                    self.change_list_lag,
                     self.publish,
                     self.change_demand,
                 ]
@@ -93,8 +93,8 @@
         await self.nodes[0].publish(_FULL)
 
     async def fail_hosts(self) -> None:
-        seed = self.chance.choice([*_A, *_B, *_C])
-        length = self.chance.choice([len(seed), len(seed), 4, 2])
+        seed = self.rng.choice([*_A, *_B, *_C])
+        length = self.rng.choice([len(seed), len(seed), 4, 2])
         hosts = self.platform.host_ids_in()
         self.platform.fail([i for i in hosts if i[:length] == seed[:length]])
 
@@ -102,43 +102,43 @@
         self.platform.recover(self.platform.failed_host_ids)
 
     async def lose_replies(self) -> None:
-        self.platform.faults.lose_replies = self.chance.randint(1, 6)
-        self.log.faults.lose_replies = self.chance.randint(0, 3)
+        self.platform.faults.lose_replies = self.rng.randint(1, 6)
+        self.log.faults.lose_replies = self.rng.randint(0, 3)
 
-    async def stop_platform(self) -> None:
+    async def interrupt_platform(self) -> None:
         self.platform.faults.down = True
-        await asyncio.sleep(self.chance.uniform(1, 40))
+        await asyncio.sleep(self.rng.uniform(1, 40))
         self.platform.faults.down = False
 
-    async def stop_log(self) -> None:
+    async def interrupt_log(self) -> None:
         self.log.faults.down = True
-        await asyncio.sleep(self.chance.uniform(1, 20))
+        await asyncio.sleep(self.rng.uniform(1, 20))
         self.log.faults.down = False
 
-    async def part_node(self) -> None:
-        faults = self.chance.choice(self.nodes).log_node.access.faults
+    async def toggle_log_access(self) -> None:
+        faults = self.rng.choice(self.nodes).log_node.access.faults
         faults.down = not faults.down
 
-    async def lag_list(self) -> None:
-        self.platform.faults.list_lag_s = self.chance.choice([1.0, 5.0, 40.0])
+    async def change_list_lag(self) -> None:
+        self.platform.faults.list_lag_s = self.rng.choice([1.0, 5.0, 40.0])
 
     async def publish(self) -> None:
-        document = self.chance.choice(_DOCUMENTS)
+        document = self.rng.choice(_DOCUMENTS)
         with contextlib.suppress(Exception):  # the log may be down
-            await self.chance.choice(self.nodes).publish(document)
+            await self.rng.choice(self.nodes).publish(document)
 
     async def change_demand(self) -> None:
         for node in self.nodes:
             node.demand.slots_by_service = {
-                "sa": self.chance.choice([4.0, 20.0, 40.0]),
-                "sb": self.chance.choice([4.0, 20.0, 40.0]),
+                "sa": self.rng.choice([4.0, 20.0, 40.0]),
+                "sb": self.rng.choice([4.0, 20.0, 40.0]),
             }
 
 
 def _check_log(log: fake_log.FakeLog) -> int:
     """Check I1 and I2 after every record; return the number of accepted take-outs."""
     state = fleet_state.FleetState()
-    accepted = 0
+    accepted_count = 0
     for entry in log.entries:
         record = records.parse_record(entry.payload)
         host = None
@@ -148,14 +148,14 @@
         code = fleet_state.apply_entry(state, entry)
         fleets.check_membership(state)
         if isinstance(record, messages.HostTakenOut):
-            accepted += code == codes.ResultCode.OK
+            accepted_count += code == codes.ResultCode.OK
             if code == codes.ResultCode.OK and host is not None and was_available:
                 fleets.check_budget(state, host)
-    return accepted
+    return accepted_count
 
 
 def _check_actions(platform: fake_platform.FakePlatform) -> None:
-    """Check that no step was done twice and that the offsets of a host never fall."""
+    """Check that no step was done twice and that fencing offsets never decrease."""
     done = [action for action in platform.actions if action.result == "done"]
     keys = [(action.operation_id, action.step) for action in done]
     assert len(keys) == len(set(keys))
@@ -179,10 +179,10 @@
             for i in range(3)
         ]
         await nodes[0].publish(_FULL)
-        chaos = _Chaos(seed, log, platform, nodes)
-        rounds = [asyncio.create_task(node.run_rounds(10_000)) for node in nodes]
-        await chaos.run(1200)
-        await chaos.end()
+        injector = _FaultInjector(seed, log, platform, nodes)
+        round_tasks = [asyncio.create_task(node.run_rounds(10_000)) for node in nodes]
+        await injector.run(1200)
+        await injector.end()
         for _ in range(300):
             await asyncio.sleep(10)
             hosts = nodes[0].state.pools.hosts_by_id.values()
@@ -194,7 +194,7 @@
                 break
         else:
             raise AssertionError("the fleet did not recover")
-        for task in rounds:
+        for task in round_tasks:
             assert not task.done() or task.exception() is None
             task.cancel()
     assert _check_log(log) >= len(_FULL.hosts)
--- a/clementinespar/pools/tests/test_state.py
+++ b/clementinespar/pools/tests/test_state.py
@@ -12,9 +12,9 @@
 from clementinespar.waves import messages as wave_messages
 
 _OK = codes.ResultCode.OK
-_OVER = codes.ResultCode.BUDGET_EXCEEDED
+_BUDGET_EXCEEDED = codes.ResultCode.BUDGET_EXCEEDED
 _A = ["c0r0-a0", "c1r0-a1", "c0r1-a2", "c1r1-a3"]
-_R = "c0r0-a4"  # in the rack of the first host
+_A4 = "c0r0-a4"  # in the rack of the first host
 _B = ["c0r0-b0", "c1r0-b1", "c0r1-b2", "c1r1-b3"]
 
 
@@ -93,7 +93,7 @@
 
 
 def test_wave_ends_when_a_document_removes_its_pool() -> None:
-    # Guards against a wave that blocks the name of its pool for ever.
+    # Guards against a wave that blocks new waves of a later pool with the same name.
     fold = _fold()
     _start(fold, _A[0])
     _maintain(fold, _A[0])
@@ -101,24 +101,24 @@
     fold.publish(_document(pools={"b": _A + _B}))
     assert fold.state.waves.waves_by_pool == {}
     assert fold.state.waves.finished[0].reason == "a document removed the pool"
-    # The host that was out goes on towards its new pool under a new operation.
+    # The operation of the host that was out continues under a new id, in its new pool.
     after = _out(fold, _A[0])
     assert after.operation_id.startswith(f"{before.operation_id}@")
     assert after.offset > before.offset
     assert (after.is_moved, _host(fold, _A[0]).pool) == (True, "b")
-    # A node that slept through the document cannot return the host.
+    # A node that has not read the document cannot return the host.
     stale = fold.add(
         messages.HostReturned, host_id=_A[0], operation_id=before.operation_id
     )
     assert stale == codes.ResultCode.HOST_NOT_OUT
     assert _step(fold, _A[0], messages.HostReturned) == _OK
-    # Hosts that were in service stay so, and are due for the reboot.
+    # Hosts that were in service stay in service and are due for maintenance.
     assert _host(fold, _A[1]).is_available
     assert _host(fold, _A[1]).maintained_ms == 0
 
 
 def test_maintenance_needs_the_wave_of_the_hosts_pool() -> None:
-    # Guards against a host that moved on but is maintained by its old pool's wave.
+    # Guards against a host that is maintained by the wave of a pool that it has left.
     fold = _fold()
     _start(fold, _A[0], _A[1])
     assert _maintain(fold, _A[2]) == codes.ResultCode.WAVE_UNKNOWN
@@ -153,7 +153,7 @@
 
 
 def test_move_to_a_removed_pool_returns_home() -> None:
-    # Guards against a host that waits for ever for a pool that is gone.
+    # Guards against a host that waits without end for a pool that no longer exists.
     fold = _fold(
         pools={"a": _A, "b": _B, "c": []}, min_available={"a": 2, "b": 2, "c": 0}
     )
@@ -166,8 +166,8 @@
     assert (_host(fold, _A[0]).pool, _host(fold, _A[0]).is_available) == ("a", True)
 
 
-def test_host_removed_while_out_comes_back_out() -> None:
-    # Guards against a host that counts as in service though it is still drained.
+def test_host_removed_while_out_is_still_out_when_added_again() -> None:
+    # Guards against a host that counts as in service although it is still drained.
     fold = _fold()
     _move(fold, _A[0])
     before = _out(fold, _A[0])
@@ -179,20 +179,20 @@
     assert fold.state.pools.removed_out_by_host_id == {}
 
 
-def test_move_is_returned_only_after_it_moved() -> None:
+def test_moving_host_returns_only_after_its_pool_has_changed() -> None:
     fold = _fold()
     _move(fold, _A[0])
     code = _step(fold, _A[0], messages.HostReturned)
     assert code == codes.ResultCode.HOST_REVISION_CONFLICT
     assert _step(fold, _A[0], messages.HostMoved) == _OK
     assert _host(fold, _A[0]).is_lent
-    # A document that names the new pool as home ends the loan.
+    # A host is no longer lent once a document names its pool as its home.
     fold.publish(_document(pools={"a": _A[1:], "b": [*_B, _A[0]]}))
     assert not _host(fold, _A[0]).is_lent
 
 
 def test_failure_records_are_conditional() -> None:
-    # Guards against a node that slept and reports what it saw before.
+    # Guards against a node that was paused and appends an outdated observation.
     fold = _fold()
     revision = _host(fold, _A[0]).revision
     assert fold.add(messages.HostFailed, host_id=_A[0]) == _OK
@@ -204,22 +204,22 @@
 @pytest.mark.parametrize(
     ("failed", "changes", "expected"),
     [
-        # Minimum, with failures counted.
+        # Minimum of available hosts; failed hosts do not count.
         ([], {"min_available": 3}, _OK),
-        ([_A[3]], {"min_available": 3}, _OVER),
-        # Taking out a failed host lowers nothing, so it is allowed.
+        ([_A[3]], {"min_available": 3}, _BUDGET_EXCEEDED),
+        # Taking out a failed host does not lower availability, so it is allowed.
         ([_A[0], _A[3]], {"min_available": 3}, _OK),
         # Failure domains: one out in the rack, two in the data centre.
         ([_A[2]], {"min_available": 1}, _OK),
-        ([_A[2]], {"min_available": 1, "max_out_per_data_centre": 1}, _OVER),
-        ([_R], {"min_available": 1, "pools": {"a": [*_A, _R]}}, _OVER),
-        # Loss of a data centre of two hosts after the take-out.
+        ([_A[2]], {"min_available": 1, "max_out_per_data_centre": 1}, _BUDGET_EXCEEDED),
+        ([_A4], {"min_available": 1, "pools": {"a": [*_A, _A4]}}, _BUDGET_EXCEEDED),
+        # Loss of a data centre with two hosts after the take-out.
         ([], {"min_available": 1, "survive": "data_centre"}, _OK),
         ([_A[1]], {"min_available": 1, "survive": "data_centre"}, _OK),
-        ([_A[2]], {"min_available": 1, "survive": "data_centre"}, _OVER),
+        ([_A[2]], {"min_available": 1, "survive": "data_centre"}, _BUDGET_EXCEEDED),
         # The pool cannot survive the loss anyway: one host out at a time.
         ([], {"min_available": 2, "survive": "data_centre"}, _OK),
-        ([_A[1]], {"min_available": 2, "survive": "data_centre"}, _OVER),
+        ([_A[1]], {"min_available": 2, "survive": "data_centre"}, _BUDGET_EXCEEDED),
     ],
 )
 def test_budget(
@@ -232,13 +232,13 @@
     assert _maintain(fold, _A[0]) == expected
 
 
-def test_a_full_pool_takes_no_lent_host() -> None:
+def test_full_pool_accepts_no_lent_host() -> None:
     fold = fleets.Fold()
     document = _document()
     full = dataclasses.replace(document.pools["b"], max_hosts=5)
     fold.publish(dataclasses.replace(document, pools=document.pools | {"b": full}))
     assert _move(fold, _A[0]) == _OK
-    assert _move(fold, _A[1]) == _OVER
+    assert _move(fold, _A[1]) == _BUDGET_EXCEEDED
 
 
 def test_records_that_mix_a_move_with_maintenance_are_refused() -> None:
--- a/clementinespar/waves/tests/test_planner.py
+++ b/clementinespar/waves/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Tests of the decision about waves."""
+"""Tests of the wave planner."""
 
 import random
 from typing import Any
@@ -43,7 +43,7 @@
 
 
 def _apply(fold: fleets.Fold, plan: planner.WavePlan) -> None:
-    """Apply a plan; every record of it must take effect."""
+    """Apply the records of a plan; each must take effect."""
     for decision in plan.decisions:
         code = fold.apply(decision.to_record("test", fold.now_ms))
         assert code == codes.ResultCode.OK
@@ -75,18 +75,18 @@
     assert all(e.waits_for for e in plan.explanations_by_pool.values())
 
 
-def test_pool_with_the_latest_host_goes_first() -> None:
+def test_pool_with_the_most_overdue_host_goes_first() -> None:
     fold = _fold()
     for host_id in _A:
         fold.state.pools.hosts_by_id[host_id].maintained_ms = fold.now_ms - 30 * _DAY_MS
     for host_id in _B:
         fold.state.pools.hosts_by_id[host_id].maintained_ms = fold.now_ms - 27 * _DAY_MS
-    latest = fold.state.pools.hosts_by_id[_B[2]]
-    latest.maintained_ms = fold.now_ms - 40 * _DAY_MS
+    most_overdue = fold.state.pools.hosts_by_id[_B[2]]
+    most_overdue.maintained_ms = fold.now_ms - 40 * _DAY_MS
     [start] = _plan(fold).starts
     assert (start.pool, start.host_ids[0]) == ("b", _B[2])
     assert _plan(fold).explanations_by_pool["a"].waits_for
-    latest.maintained_ms = fold.now_ms
+    most_overdue.maintained_ms = fold.now_ms
     [start] = _plan(fold).starts
     assert start.pool == "a"
 
@@ -122,7 +122,7 @@
     assert len(out) == expected
 
 
-def test_what_the_node_sees_counts_in_the_budget() -> None:
+def test_observed_unavailability_counts_in_the_budget() -> None:
     # Guards against maintenance on top of ejected and missing hosts.
     fold = _fold(min_available={"a": 6, "b": 4}, max_wave_hosts=8)
     _apply(fold, _plan(fold))
@@ -134,13 +134,13 @@
     assert "6 of 8 hosts are in service and 6 must stay" in explained.because[0]
 
 
-def test_wave_that_makes_no_end_is_given_up() -> None:
-    # Guards against a wave that keeps all other pools from their turn.
+def test_wave_over_its_time_limit_is_given_up() -> None:
+    # Guards against a wave that blocks the waves of other pools without end.
     fold = _fold(min_available={"a": 6, "b": 4}, max_wave_hosts=8)
     _apply(fold, _plan(fold))
     _apply(fold, _plan(fold))
-    [taken] = [h for h in fold.state.pools.hosts_by_id.values() if h.out is not None]
-    fold.add(messages.HostFailed, host_id=taken.host_id)
+    [host_out] = [h for h in fold.state.pools.hosts_by_id.values() if h.out is not None]
+    fold.add(messages.HostFailed, host_id=host_out.host_id)
     fold.now_ms += planner.WAVE_LIMIT_MS + 1
     [end] = _plan(fold).ends
     assert end.reason.startswith("given up after 12 h")
@@ -160,8 +160,8 @@
 
 
 def test_every_host_is_maintained_once_in_28_days() -> None:
-    # A tenth of the planned size, with its rate of failures, for two intervals.
-    chance = random.Random(1)
+    # A tenth of the planned fleet, with its failure rate, for two intervals.
+    rng = random.Random(1)
     pools = {f"p{i:02}": fleets.host_ids(f"p{i:02}x", 3, 3, 1) for i in range(36)}
     fold = _fold(
         fleets.make_document(pools, min_available=2, survive="none", every_days=28)
@@ -178,9 +178,9 @@
             _return(fold, host_id)
             history[host_id].append(fold.now_ms)
         for host_id in hosts:
-            if chance.random() < 1.5 / 48 / len(hosts):
+            if rng.random() < 1.5 / 48 / len(hosts):
                 fold.add(messages.HostFailed, host_id=host_id)
-            elif hosts[host_id].failed_since_ms is not None and chance.random() < 0.1:
+            elif hosts[host_id].failed_since_ms is not None and rng.random() < 0.1:
                 fold.add(messages.HostRecovered, host_id=host_id)
         plan = _plan(fold)
         _apply(fold, plan)
@@ -203,7 +203,7 @@
 def test_weights_decide_how_many_pools_run_waves(
     pool_count: int, roll_out: float, short_wait: float, expected: int
 ) -> None:
-    """Guards against a small fleet that ignores the weight of roll-out time."""
+    """Guards against a small fleet in which the weight of roll-out has no effect."""
     document = fleets.make_document(
         {f"p{i}": [f"c1r1-p{i}"] for i in range(pool_count)},
         min_available=0,
--- a/clementinespar/waves/tests/test_runner.py
+++ b/clementinespar/waves/tests/test_runner.py
@@ -1,4 +1,4 @@
-"""Tests of whole waves on a fake log and platform with a paused clock."""
+"""Tests of complete waves on a fake log and platform with a paused clock."""
 
 import asyncio
 import contextlib
@@ -21,7 +21,7 @@
 
 
 class _Fleet:
-    """A node, the platform, and the lowest availability seen in each pool."""
+    """A node and the platform, with queries about the hosts."""
 
     def __init__(self, node: fleets.FleetNode, platform: fake_platform.FakePlatform):
         self.node = node
@@ -76,7 +76,7 @@
 
 
 @paused_clock.test
-async def test_a_rack_fails_in_the_middle_of_a_wave() -> None:
+async def test_rack_fails_during_a_wave() -> None:
     async with _fleet() as fleet:
         await fleet.run_until(lambda: len(fleet.maintained()) == 1, 200)
         rack = fleet.platform.host_ids_in("c0", "r0")
@@ -84,7 +84,7 @@
         await fleet.node.run_rounds(60)
         pools = fleet.node.state.pools
         assert not any(pools.hosts_by_id[i].is_available for i in rack)
-        # Guards against hosts taken out on top of a failure that uses up the budget.
+        # Guards against take-outs after a failure that has used up the budget.
         count = len(fleet.started("drain"))
         await fleet.node.run_rounds(60)
         assert len([h for h in pools.hosts_of("a") if h.is_available]) >= 5
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize("fault", ["down", "lag"])
 @paused_clock.test
-async def test_no_host_leaves_on_an_old_list(fault: str) -> None:
+async def test_no_host_is_taken_out_on_an_old_host_list(fault: str) -> None:
     async with _fleet() as fleet:
         if fault == "down":
             await asyncio.sleep(10)
@@ -122,7 +122,7 @@
         else:
             fleet.platform.faults.list_lag_s = 120.0
             await asyncio.sleep(60)
-            await fleet.node.publish(_DOCUMENT)  # the log goes on
+            await fleet.node.publish(_DOCUMENT)  # a newer record shows the lag
         await fleet.node.run_rounds(60)
         assert fleet.out() == []
         explained = fleet.node.waves.explain("a")
@@ -131,7 +131,7 @@
 
 
 @paused_clock.test
-async def test_a_paused_document_stops_waves_but_returns_hosts() -> None:
+async def test_document_that_pauses_maintenance_stops_waves_but_returns_hosts() -> None:
     async with _fleet() as fleet:
         await fleet.run_until(lambda: len(fleet.out()) >= 1, 60)
         paused = fleets.make_document(
@@ -147,7 +147,7 @@
 
 @paused_clock.test
 async def test_host_that_fails_in_a_wave_stops_it() -> None:
-    # Guards against one bad maintenance that is repeated on host after host.
+    # Guards against a harmful maintenance that is repeated on further hosts.
     one_at_a_time = fleets.make_document(_POOLS, min_available={"a": 7, "b": 3})
     async with _fleet(one_at_a_time) as fleet:
         await fleet.run_until(lambda: len(fleet.maintained()) == 1, 200)
@@ -163,21 +163,21 @@
         await fleet.run_until(lambda: len(fleet.maintained()) == 12, 1000)
 
 
-class _SleepyAppender:
-    """Holds back records that take hosts out, like a process that is paused."""
+class _PausingAppender:
+    """Delays records that take hosts out, as a pause of the process would."""
 
     def __init__(self) -> None:
         self.inner: Any = None
-        self.is_asleep = True
-        self.awake = asyncio.Event()
+        self.is_paused = True
+        self.resumed = asyncio.Event()
         self.codes: list[codes.ResultCode] = []
 
     def now_ms(self) -> int:
         return int(self.inner.now_ms())
 
     async def append(self, record: base.Record, timeout_s: float) -> Any:
-        if isinstance(record, messages.HostTakenOut) and self.is_asleep:
-            await self.awake.wait()
+        if isinstance(record, messages.HostTakenOut) and self.is_paused:
+            await self.resumed.wait()
         try:
             result = await self.inner.append(record, timeout_s)
         except errors.ClementinesparError as error:
@@ -192,31 +192,31 @@
     ("maintained", "expected"),
     [
         (1, codes.ResultCode.HOST_REVISION_CONFLICT),
-        (12, codes.ResultCode.LOG_UNAVAILABLE),  # too old to be appended at all
+        (12, codes.ResultCode.LOG_UNAVAILABLE),  # the record is too old by then
     ],
 )
 @paused_clock.test
-async def test_planner_that_slept_through_a_change_of_leader(
+async def test_planner_paused_during_a_change_of_lease_holder(
     maintained: int, expected: codes.ResultCode
 ) -> None:
     log = fake_log.FakeLog()
     platform = fake_platform.FakePlatform(fleets.seeds_of(_DOCUMENT))
-    sleepy = _SleepyAppender()
+    appender = _PausingAppender()
     async with (
-        fleets.running_fleet_node(log, platform, "node-a", sleepy) as old,
-        fleets.running_fleet_node(log, platform, "node-b") as new,
+        fleets.running_fleet_node(log, platform, "node-a", appender) as previous,
+        fleets.running_fleet_node(log, platform, "node-b") as next_holder,
     ):
-        sleepy.inner = old.log_node.appender
-        await old.publish(_DOCUMENT)
-        asleep = asyncio.create_task(old.run_rounds(5))
-        await asyncio.sleep(10)  # the old leader is about to take a host out
-        fleet = _Fleet(new, platform)
+        appender.inner = previous.log_node.appender
+        await previous.publish(_DOCUMENT)
+        paused_rounds = asyncio.create_task(previous.run_rounds(5))
+        await asyncio.sleep(10)  # the previous lease holder is about to take a host out
+        fleet = _Fleet(next_holder, platform)
         await fleet.run_until(lambda: len(fleet.maintained()) >= maintained, 1000)
-        sleepy.is_asleep = False
-        sleepy.awake.set()
-        # Guards against a host that is taken out by a decision from before.
+        appender.is_paused = False
+        appender.resumed.set()
+        # Guards against a host that is taken out by an outdated decision.
         await asyncio.sleep(0.5)
-        assert sleepy.codes == [expected]
-        await asleep
+        assert appender.codes == [expected]
+        await paused_rounds
         await fleet.run_until(lambda: len(fleet.maintained()) == 12, 1000)
         assert sorted(fleet.started("drain")) == sorted(_DOCUMENT.hosts)
