--- a/clementinespar/capacity/tests/test_planner.py
+++ b/clementinespar/capacity/tests/test_planner.py
@@ -102,11 +102,13 @@
     options: dict[str, object],
     expected: list[tuple[str, str]],
 ) -> None:
+    """Guards against moves without need, or shortages that no move ends."""
     plan = _plan(_fold(_document()), slots_a, slots_b, **options)  # type: ignore[arg-type]
     assert _pairs(plan) == expected
 
 
 def test_pools_with_a_surplus_lend_when_the_spare_pool_has_none() -> None:
+    """Guards against a shortage that lasts because only the spare pool lends."""
     fold = _fold(_document(min_available={"a": 2, "b": 2, "c": 3}))
     assert _pairs(_plan(fold, 40.0, 8.0)) == [("b", "a")]
     # A pool keeps the hosts that it needs at a lower utilisation.
@@ -117,7 +119,7 @@
 def test_one_host_at_a_time_moves_between_two_pools(
     min_available_c: int, donor: str
 ) -> None:
-    # Guards against a wrong estimate that drains many hosts before it is noticed.
+    """Guards against a wrong estimate that drains many hosts before it is noticed."""
     fold = _fold(_document(min_available={"a": 2, "b": 2, "c": min_available_c}))
     [move] = _plan(fold, 48.0).moves
     assert move.from_pool == donor
@@ -132,6 +134,7 @@
 
 
 def test_lent_hosts_return_when_the_surplus_has_lasted() -> None:
+    """Guards against lent hosts that never return, or return while they are needed."""
     fold = _fold(_document())
     _move(fold, _C[0], "c", "a")
     assert _pairs(_plan(fold, 8.0)) == [("a", "c")]
@@ -141,6 +144,7 @@
 
 
 def test_pool_with_a_shortage_recalls_its_own_hosts_first() -> None:
+    """Guards against a pool that borrows hosts while its own hosts are lent."""
     fold = _fold(_document())
     _move(fold, _B[0], "b", "a")
     plan = _plan(fold, 20.0, 34.0)
@@ -148,7 +152,7 @@
 
 
 def test_new_home_in_the_document_causes_a_move() -> None:
-    # Guards against a host that stays in its old pool because that pool needs it.
+    """Guards against a host that stays in its old pool because that pool needs it."""
     fold = _fold(_document())
     changed = {"a": _A[1:], "b": [*_B, _A[0]], "c": _C}
     fold.publish(_document(pools=changed))
@@ -165,13 +169,15 @@
     ],
 )
 def test_weights_change_how_long_a_shortage_lasts(weights, check) -> None:  # type: ignore[no-untyped-def]
-    # Guards against weights of moves and of waiting that have no effect.
+    """Guards against weights of moves and of waiting that have no effect."""
     assert check(
         planner.min_shortage_s(weights), planner.min_shortage_s(model.Weights())
     )
 
 
 def test_weights_change_the_number_of_needed_hosts() -> None:
+    """Guards against weights of cost and of waiting that have no effect."""
+
     def needed(weights: model.Weights) -> int:
         plan = _plan(_fold(_document(weights=weights)), 30.0)
         return plan.needs_by_pool["a"].needed or 0
@@ -181,6 +187,8 @@
 
 
 def test_history_starts_over_when_a_shortage_ends() -> None:
+    """Guards against two short shortages that count as one long one."""
+
     def need(has: int, needed: int | None) -> dict[str, planner.PoolNeed]:
         return {"a": planner.PoolNeed("a", has, needed, needed, 0.0, ())}
 
@@ -196,6 +204,7 @@
 
 
 def test_borrowed_hosts_are_spread_over_failure_domains() -> None:
+    """Guards against borrowed hosts that all are in one data centre."""
     fold = _fold(_document(min_available=1))
     first = _plan(fold, 48.0).moves[0].host_id
     _move(fold, first, "c", "a")
@@ -204,6 +213,7 @@
 
 
 def test_explanations_state_what_a_pool_waits_for() -> None:
+    """Guards against explanations that do not say why no host moves."""
     fold = _fold(_document())
     history = planner.History({"a": -30.0}, {})
     explained = _plan(fold, 40.0, history=history).explanations_by_pool["a"]
--- a/clementinespar/capacity/tests/test_runner.py
+++ b/clementinespar/capacity/tests/test_runner.py
@@ -40,6 +40,7 @@
 
 @paused_clock.test
 async def test_hosts_follow_a_lasting_demand_and_return() -> None:
+    """Guards against hosts that do not follow demand or move back and forth."""
     async with _node() as (node, platform):
         await node.run_rounds(30)
         node.demand.slots_by_service["sa"] = 44.0  # 8 hosts needed
@@ -50,13 +51,13 @@
         node.demand.slots_by_service["sa"] = 8.0
         await node.run_rounds(900)
         assert (_count_available(node, "a"), _count_available(node, "c")) == (6, 4)
-        # Guards against hosts that are moved back and forth.
         reboots = [a for a in platform.actions if a.step == "reboot"]
         assert len([a for a in reboots if a.result == "started"]) == 4
 
 
 @paused_clock.test
 async def test_peaks_of_a_few_seconds_move_no_host() -> None:
+    """Guards against drains of hosts for peaks that end before the hosts arrive."""
     async with _node() as (node, platform):
         for _ in range(20):
             node.demand.slots_by_service["sa"] = 60.0
@@ -68,7 +69,7 @@
 
 @paused_clock.test
 async def test_pause_of_the_process_is_not_a_lasting_shortage() -> None:
-    # Guards against peaks before and after a pause that are taken for one shortage.
+    """Guards against peaks before and after a pause that are taken for one shortage."""
     async with _node() as (node, platform):
         node.demand.slots_by_service["sa"] = 60.0
         await node.run_rounds(5)
@@ -79,6 +80,7 @@
 
 @paused_clock.test
 async def test_document_with_another_home_moves_the_host_through_a_drain() -> None:
+    """Guards against a host that changes pool without a drain and a reboot."""
     async with _node() as (node, platform):
         host_id = _POOLS["a"][0]
         changed = {
@@ -99,6 +101,7 @@
 
 @paused_clock.test
 async def test_trial_document_is_planned_but_moves_no_host() -> None:
+    """Guards against a trial document that has an effect on hosts."""
     async with _node() as (node, platform):
         await node.publish(
             fleets.make_document(_POOLS | {"c": _POOLS["c"][1:]}, services=_SERVICES),
--- a/clementinespar/claims/tests/test_claimer.py
+++ b/clementinespar/claims/tests/test_claimer.py
@@ -28,7 +28,7 @@
 
 @log_nodes.with_nodes("node-a", "node-b")
 async def test_one_of_many_concurrent_claims_wins(node_a: Node, node_b: Node) -> None:
-    # Guards against a request that runs on two nodes, or twice on one.
+    """Guards against a request that runs on two nodes, or twice on one."""
     log = node_a.log
     claimers = [make_claimer(node_a), make_claimer(node_b)]
     ids = [identifiers.new_id(log.now_ms()) for _ in range(100)]
@@ -57,7 +57,7 @@
 async def test_ids_that_cannot_be_claimed(
     node: Node, request_id: str, age_ms: int | None, code: codes.ResultCode
 ) -> None:
-    # Guards against an invalid id that fails the whole batch or is accepted.
+    """Guards against an invalid id that fails the whole batch or is accepted."""
     log = node.log
     claimer = make_claimer(node)
     prefix = "" if age_ms is None else str(log.now_ms() - age_ms)
@@ -86,8 +86,10 @@
 async def test_claim_under_faults(
     node_a: Node, node_b: Node, faults: fake_log.Faults, code: codes.ResultCode | None
 ) -> None:
-    # Guards against a claim that is reported as won although the fold does not show it,
-    # and against one that wins late and blocks a request that did not run.
+    """Guards against claims reported as won that the fold does not show.
+
+    Also guards against a claim that wins late and blocks a request that did not run.
+    """
     log = node_a.log
     claimer_a, claimer_b = make_claimer(node_a), make_claimer(node_b)
     await claimer_a.claim(identifiers.new_id(log.now_ms()), 5.0)
@@ -103,8 +105,11 @@
 
 
 def test_cancelled_and_late_claims_are_released() -> None:
-    # Guards against a request that stays claimed but never runs, because its caller
-    # disconnected during the append of its claim.
+    """Guards against a request that stays claimed although it never runs.
+
+    The caller disconnects while the claim is appended.
+    """
+
     async def main() -> None:
         for delay_s in (0.0, 0.003, 0.007, 0.02, 0.2, 0.9):
             log = fake_log.FakeLog()
@@ -129,8 +134,8 @@
 def test_claim_that_wins_while_its_caller_is_cancelled_is_released(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a claim that stays held because its caller is cancelled right after
-    # the result is set.
+    """Guards against a claim that stays held if its caller is cancelled late."""
+
     async def main() -> None:
         outcome = claims_claimer.Claimer._outcome
 
@@ -157,7 +162,7 @@
 async def test_released_request_can_be_claimed_again(
     node_a: Node, node_b: Node
 ) -> None:
-    # Guards against a retried request that is refused although it cannot have run.
+    """Guards against a retried request that is refused although it cannot have run."""
     log = node_a.log
     claimer_a, claimer_b = make_claimer(node_a), make_claimer(node_b)
     request_id = identifiers.new_id(log.now_ms())
@@ -177,7 +182,7 @@
 async def test_restarted_node_does_not_release_claims_of_its_predecessor(
     node: Node,
 ) -> None:
-    # Guards against a second run of a request that a crashed process had dispatched.
+    """Guards against a second run of a request that a crashed process dispatched."""
     log = node.log
     request_id = identifiers.new_id(log.now_ms())
     assert await make_claimer(node).claim(request_id, 5.0) == OK
@@ -193,8 +198,10 @@
 async def test_claim_of_a_node_that_sees_its_result_late(
     node_a: Node, node_b: Node, pause_s: float
 ) -> None:
-    # Guards against a second winner before the first node has read that it won. The
-    # late result is still valid, because no other claim of the id can win.
+    """Guards against a second winner before the first node has read that it won.
+
+    The late result is still valid, because no other claim of the id can win.
+    """
     log = node_a.log
     claimer_a, claimer_b = make_claimer(node_a), make_claimer(node_b)
     request_id = identifiers.new_id(log.now_ms())
@@ -214,9 +221,12 @@
 
 
 def test_nodes_share_the_append_rate_of_the_log() -> None:
-    # Guards against nodes that starve while others use up the append rate of the log.
-    # The p99 in loop time is 0.16 s; it was 0.60 s when refusals doubled the retry
-    # delay and successes halved it.
+    """Guards against nodes that starve while others use up the append rate of the log.
+
+    The p99 is 0.16 s of loop time. A retry delay that doubles on refusals and halves on
+    successes gives 0.60 s.
+    """
+
     async def main() -> None:
         log = fake_log.FakeLog(max_appends_per_s=300)
         log.faults.slow_ms = 2.0
@@ -252,7 +262,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_memory_of_won_claims_is_bounded(node: Node) -> None:
-    # Guards against a node that never drops the claims that it has won.
+    """Guards against a node that never drops the claims that it has won."""
     log = node.log
     claimer = make_claimer(node)
     for _ in range(20):
--- a/clementinespar/duties/state.py
+++ b/clementinespar/duties/state.py
@@ -10,9 +10,7 @@
 from clementinespar.duties import messages
 from clementinespar.log import service as log_service
 
-MAX_LEASE_MS = (
-    60_000  # bounds how long a duty is blocked after its lease holder crashed
-)
+MAX_LEASE_MS = 60_000  # bounds how long a crashed lease holder blocks a duty
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/clementinespar/duties/tests/test_holder.py
+++ b/clementinespar/duties/tests/test_holder.py
@@ -23,8 +23,10 @@
 async def test_duty_passes_to_another_node_after_its_release(
     node_a: Node, node_b: Node
 ) -> None:
-    # Guards against two lease holders at a time, and against a duty that stays blocked
-    # until its lease ends after a planned stop.
+    """Guards against two lease holders at a time.
+
+    Also guards against a duty that stays blocked by the lease of a stopped node.
+    """
     log = node_a.log
     holder_a, holder_b = make_holder(node_a), make_holder(node_b)
     assert not holder_a.is_held
@@ -58,7 +60,7 @@
 async def test_holder_that_is_cut_off_stops_before_another_starts(
     node_a: Node, node_b: Node, faults: fake_log.Faults
 ) -> None:
-    # Guards against a lease holder that cannot read the log and acts after its lease.
+    """Guards against a lease holder that sees no records and acts after its lease."""
     holder_a, holder_b = make_holder(node_a), make_holder(node_b)
     async with holder_a.running():
         await asyncio.sleep(1.0)
@@ -79,8 +81,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_holder_paused_past_its_lease(node: Node) -> None:
-    # Guards against a paused process that acts after its lease has ended, before any
-    # callback has run.
+    """Guards against a process that acts after a pause longer than its lease."""
     holder = make_holder(node)
     async with holder.running():
         await asyncio.sleep(1.0)
@@ -94,7 +95,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_lease_is_counted_from_before_the_claim_was_sent(node: Node) -> None:
-    # Guards against a lease that is counted from the time at which its claim was read.
+    """Guards against a lease that is counted from when its claim was read."""
     log = node.log
     await node.appender.append(node.duty_record("first"), 5.0)
     holder = make_holder(node)
@@ -120,8 +121,11 @@
     [("node-b", "waves"), ("node-a", "waves"), ("node-b", "other")],
 )
 def test_fold_ends_a_duty_before_the_loop_clock_does(successor: str, duty: str) -> None:
-    # Guards against a suspended host, whose loop clock stops: another process, possibly
-    # with the same node name, may hold the lease by then.
+    """Guards against a lease that seems held on a suspended host, whose clock stops.
+
+    Another process, possibly with the same node name, may hold the lease by then.
+    """
+
     async def main() -> None:
         log = fake_log.FakeLog()
         async with (
@@ -144,7 +148,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_stop_during_a_log_outage_is_bounded(node: Node) -> None:
-    # Guards against a planned stop that waits for an unavailable log without limit.
+    """Guards against a planned stop that waits for an unavailable log without limit."""
     log = node.log
     holder = make_holder(node)
     async with holder.running():
--- a/clementinespar/pools/failures.py
+++ b/clementinespar/pools/failures.py
@@ -36,9 +36,7 @@
     # Timestamp of the first list without a host, by host id and operation id, so that
     # an absence during a reboot does not count after it.
     _missing_since_ms: dict[tuple[str, str], int]
-    _present_since_ms: dict[
-        str, int
-    ]  # by host id, for failed hosts listed as live again
+    _present_since_ms: dict[str, int]  # by host id, of failed hosts listed live
 
     def __init__(self) -> None:
         self._observed_ms = None
--- a/clementinespar/pools/tests/test_failures.py
+++ b/clementinespar/pools/tests/test_failures.py
@@ -67,11 +67,12 @@
 def test_missing_host_fails(
     observations: list[tuple[float, bool]], expected: bool
 ) -> None:
+    """Guards against failures that are missed or reported after a short absence."""
     assert _examine(observations) == (expected, False)
 
 
 def test_rebooting_host_may_be_missing_for_longer() -> None:
-    # Guards against reboots that are recorded as failures.
+    """Guards against reboots that are recorded as failures."""
     assert _examine(_every(range(600), False), is_out=True) == (False, False)
     assert _examine(_every(range(1000), False), is_out=True) == (True, False)
 
@@ -80,7 +81,7 @@
 def test_absence_in_a_reboot_does_not_count_after_it(
     listed_at_s: int, expected: bool
 ) -> None:
-    # Guards against a host recorded as failed because the list lags behind its return.
+    """Guards against failures recorded because the list lags behind a host's return."""
     observations = [*_every(range(listed_at_s), False), (float(listed_at_s), True)]
     assert _examine(observations, is_out=True, returned_at_s=300.0) == (expected, False)
 
@@ -97,11 +98,12 @@
 def test_listed_host_recovers(
     observations: list[tuple[float, bool]], expected: bool
 ) -> None:
+    """Guards against failed hosts that never count as recovered, or do so too early."""
     assert _examine(observations, is_failed=True) == (False, expected)
 
 
 def test_empty_list_fails_no_host() -> None:
-    # Guards against an empty list by which all hosts of the fleet count as failed.
+    """Guards against an empty list by which all hosts of the fleet count as failed."""
     detector = failures.FailureDetector()
     fold = fleets.Fold()
     fold.publish(_DOCUMENT)
@@ -117,7 +119,7 @@
 def test_list_that_lags_behind_the_log_is_old(
     age_s: float, behind_s: int, expected: float
 ) -> None:
-    # Guards against an old list that counts as new because it was read just now.
+    """Guards against an old list that counts as new because it was read just now."""
     host_list = fleets.full_list(_DOCUMENT, fleets.EPOCH_MS)
     source = fleets.FixedHostList(host_list, age_s)
     log_time_ms = fleets.EPOCH_MS + behind_s * 1000
@@ -125,6 +127,7 @@
 
 
 def test_observation_combines_list_and_ejections() -> None:
+    """Guards against an ejected or missing host that counts as available."""
     fold = fleets.Fold()
     fold.publish(_DOCUMENT)
     host_list = fleets.full_list(_DOCUMENT, fleets.EPOCH_MS)
--- a/clementinespar/pools/tests/test_operations.py
+++ b/clementinespar/pools/tests/test_operations.py
@@ -131,6 +131,7 @@
 
 @paused_clock.test
 async def test_two_nodes_advance_a_move_in_turn_and_at_once() -> None:
+    """Guards against steps that are done twice when another node continues."""
     async with _node_pair() as pair:
         await pair.move(_A[0], "a", "b")
         await pair.advance(pair.a, _A[0], 3)  # node a stops during the drain
@@ -139,13 +140,13 @@
         )
         assert pair.pool_of(_A[0]) == ("b", True)
         assert pair.platform.pool_by_host_id[_A[0]] == "b"
-        # Guards against steps that are done twice when another node continues.
         assert pair.started() == [("drain", ""), ("reboot", "b")]
 
 
 @pytest.mark.parametrize("paused_step", ["drain", "reboot"])
 @paused_clock.test
 async def test_node_paused_before_a_call_is_fenced(paused_step: str) -> None:
+    """Guards against an action of the first move that runs during the second."""
     async with _node_pair() as pair:
         await pair.move(_A[0], "a", "b")
         pair.platform.paused_step = paused_step
@@ -158,7 +159,6 @@
         await pair.advance(pair.b, _A[0], 1)
         pair.platform.resumed.set()
         await asyncio.sleep(0.1)
-        # Guards against an action of the first move that runs during the second.
         assert pair.platform.actions[-1].result == "refused"
         await pair.advance(pair.b, _A[0], 40)
         await paused_task
@@ -173,6 +173,7 @@
 async def test_node_paused_before_its_check_sends_no_call(
     paused_step: str, is_out_again: bool
 ) -> None:
+    """Guards against a call for an operation that another node completed."""
     async with _node_pair() as pair:
         await pair.move(_A[0], "a", "b")
         pair.platform.paused_step = f"status of {paused_step}"
@@ -188,7 +189,6 @@
             await pair.move(_A[0], "b", "a")
         count = len(pair.platform.actions)
         pair.platform.resumed.set()
-        # Guards against a call for an operation that another node completed.
         assert await paused_task == codes.ResultCode.HOST_NOT_OUT
         assert len(pair.platform.actions) == count
 
@@ -207,7 +207,7 @@
 async def test_node_paused_during_a_change_of_the_duty_lease(
     paused_step: str, progress: str
 ) -> None:
-    # Guards against a previous lease holder that resumes just before a host action.
+    """Guards against a previous lease holder that resumes just before a host action."""
     async with _node_pair() as pair, contextlib.AsyncExitStack() as stack:
         holders = []
         for node in (pair.a, pair.b):
@@ -275,6 +275,7 @@
 
 @paused_clock.test
 async def test_document_that_removes_the_destination_returns_the_host() -> None:
+    """Guards against a host that never returns because its new pool was removed."""
     async with _node_pair() as pair:
         await pair.move(_A[0], "a", "b")
         await pair.advance(pair.a, _A[0], 8)
@@ -287,6 +288,7 @@
 
 @paused_clock.test
 async def test_no_step_starts_while_the_log_is_down() -> None:
+    """Guards against steps that start without a confirmation by the log."""
     async with _node_pair() as pair:
         await pair.move(_A[0], "a", "b")
         pair.a.log_node.access.log.faults.down = True
@@ -301,6 +303,7 @@
 
 @paused_clock.test
 async def test_operation_continues_after_a_draining_host_recovers() -> None:
+    """Guards against an operation that never ends after the platform refused a step."""
     async with _node_pair() as pair:
         await pair.move(_A[0], "a", "b")
         await pair.advance(pair.a, _A[0], 2)
--- a/clementinespar/pools/tests/test_racing_nodes.py
+++ b/clementinespar/pools/tests/test_racing_nodes.py
@@ -167,6 +167,7 @@
 @pytest.mark.parametrize("seed", range(6))
 @paused_clock.test
 async def test_racing_nodes_keep_the_invariants_and_recover(seed: int) -> None:
+    """Guards against broken budgets, repeated steps and hosts that never return."""
     log = fake_log.FakeLog(epoch_ms=fleets.EPOCH_MS)
     platform = fake_platform.FakePlatform(
         fleets.seeds_of(_FULL), epoch_ms=fleets.EPOCH_MS
--- a/clementinespar/pools/tests/test_state.py
+++ b/clementinespar/pools/tests/test_state.py
@@ -80,12 +80,13 @@
 def test_wave_start_is_checked(
     pool: str, host_ids: list[str], paused: bool, expected: codes.ResultCode
 ) -> None:
-    # Guards against waves that cover hosts of other pools or ignore a pause.
+    """Guards against waves that cover hosts of other pools or ignore a pause."""
     fold = _fold(max_wave_hosts=3, paused=paused)
     assert _start(fold, *host_ids, pool=pool) == expected
 
 
 def test_one_wave_per_pool() -> None:
+    """Guards against two waves that run in one pool at a time."""
     fold = _fold()
     assert _start(fold, _A[0]) == _OK
     assert _start(fold, _A[1]) == codes.ResultCode.WAVE_CONFLICT
@@ -93,7 +94,7 @@
 
 
 def test_wave_ends_when_a_document_removes_its_pool() -> None:
-    # Guards against a wave that blocks new waves of a later pool with the same name.
+    """Guards against a wave that blocks waves of a later pool with the same name."""
     fold = _fold()
     _start(fold, _A[0])
     _maintain(fold, _A[0])
@@ -118,7 +119,7 @@
 
 
 def test_maintenance_needs_the_wave_of_the_hosts_pool() -> None:
-    # Guards against a host that is maintained by the wave of a pool that it has left.
+    """Guards against maintenance of a host by the wave of a pool that it has left."""
     fold = _fold()
     _start(fold, _A[0], _A[1])
     assert _maintain(fold, _A[2]) == codes.ResultCode.WAVE_UNKNOWN
@@ -132,6 +133,7 @@
 
 
 def test_a_pause_in_the_document_stops_a_running_wave() -> None:
+    """Guards against a running wave that ignores a pause of maintenance."""
     fold = _fold()
     _start(fold, _A[0])
     fold.publish(_document(paused=True))
@@ -139,7 +141,7 @@
 
 
 def test_move_and_maintenance_race_for_one_host() -> None:
-    # Guards against two operations on one host; the first in the log wins.
+    """Guards against two operations on one host; the first in the log wins."""
     fold = _fold()
     _start(fold, _A[0])
     revision = _host(fold, _A[0]).revision
@@ -153,7 +155,7 @@
 
 
 def test_move_to_a_removed_pool_returns_home() -> None:
-    # Guards against a host that waits without end for a pool that no longer exists.
+    """Guards against a host that waits without end for a pool that no longer exists."""
     fold = _fold(
         pools={"a": _A, "b": _B, "c": []}, min_available={"a": 2, "b": 2, "c": 0}
     )
@@ -167,7 +169,7 @@
 
 
 def test_host_removed_while_out_is_still_out_when_added_again() -> None:
-    # Guards against a host that counts as in service although it is still drained.
+    """Guards against a host that counts as in service although it is still drained."""
     fold = _fold()
     _move(fold, _A[0])
     before = _out(fold, _A[0])
@@ -180,6 +182,7 @@
 
 
 def test_moving_host_returns_only_after_its_pool_has_changed() -> None:
+    """Guards against a drained host that returns to service in its old pool."""
     fold = _fold()
     _move(fold, _A[0])
     code = _step(fold, _A[0], messages.HostReturned)
@@ -192,7 +195,7 @@
 
 
 def test_failure_records_are_conditional() -> None:
-    # Guards against a node that was paused and appends an outdated observation.
+    """Guards against a node that was paused and appends an outdated observation."""
     fold = _fold()
     revision = _host(fold, _A[0]).revision
     assert fold.add(messages.HostFailed, host_id=_A[0]) == _OK
@@ -225,6 +228,7 @@
 def test_budget(
     failed: list[str], changes: dict[str, object], expected: codes.ResultCode
 ) -> None:
+    """Guards against take-outs that break the budget, and needless refusals."""
     fold = _fold(**changes)
     for host_id in failed:
         fold.add(messages.HostFailed, host_id=host_id)
@@ -233,6 +237,7 @@
 
 
 def test_full_pool_accepts_no_lent_host() -> None:
+    """Guards against a pool that grows beyond ``max_hosts`` by lent hosts."""
     fold = fleets.Fold()
     document = _document()
     full = dataclasses.replace(document.pools["b"], max_hosts=5)
@@ -242,6 +247,7 @@
 
 
 def test_records_that_mix_a_move_with_maintenance_are_refused() -> None:
+    """Guards against a record that avoids the checks of its reason."""
     fold = _fold()
     _start(fold, _A[0])
     wave_id = fold.state.waves.waves_by_pool["a"].wave_id
--- a/clementinespar/waves/tests/test_planner.py
+++ b/clementinespar/waves/tests/test_planner.py
@@ -69,6 +69,7 @@
 def test_no_wave_starts(
     changes: dict[str, Any], age_s: float, code: codes.ResultCode
 ) -> None:
+    """Guards against waves that ignore a pause, an old host list or the budget."""
     plan = _plan(_fold(**changes), age_s)
     assert (plan.starts, plan.take_outs) == ((), ())
     assert {e.code for e in plan.explanations_by_pool.values()} == {code}
@@ -76,6 +77,7 @@
 
 
 def test_pool_with_the_most_overdue_host_goes_first() -> None:
+    """Guards against a pool whose hosts exceed the interval while others go first."""
     fold = _fold()
     for host_id in _A:
         fold.state.pools.hosts_by_id[host_id].maintained_ms = fold.now_ms - 30 * _DAY_MS
@@ -92,6 +94,7 @@
 
 
 def test_take_outs_are_spread_over_failure_domains() -> None:
+    """Guards against a wave that takes its hosts out of one data centre only."""
     fold = _fold(max_wave_hosts=8, max_out_per_data_centre=8, max_out_per_rack=8)
     _apply(fold, _plan(fold))
     _apply(fold, _plan(fold))
@@ -107,6 +110,7 @@
 def test_hosts_out_leave_room_for_the_loss_of_a_domain(
     survive: str, min_available: int, expected: int
 ) -> None:
+    """Guards against take-outs after which the loss of a domain breaks the budget."""
     # Eight hosts: four in each data centre, two in each rack.
     fold = _fold(
         min_available=min_available if min_available < 5 else {"a": 6, "b": 4},
@@ -123,7 +127,7 @@
 
 
 def test_observed_unavailability_counts_in_the_budget() -> None:
-    # Guards against maintenance on top of ejected and missing hosts.
+    """Guards against maintenance on top of ejected and missing hosts."""
     fold = _fold(min_available={"a": 6, "b": 4}, max_wave_hosts=8)
     _apply(fold, _plan(fold))
     assert len(_plan(fold).take_outs) == 1
@@ -135,7 +139,7 @@
 
 
 def test_wave_over_its_time_limit_is_given_up() -> None:
-    # Guards against a wave that blocks the waves of other pools without end.
+    """Guards against a wave that blocks the waves of other pools without end."""
     fold = _fold(min_available={"a": 6, "b": 4}, max_wave_hosts=8)
     _apply(fold, _plan(fold))
     _apply(fold, _plan(fold))
@@ -147,6 +151,7 @@
 
 
 def test_wave_ends_without_hosts_that_failed_or_left() -> None:
+    """Guards against a wave that waits without end for a host that failed."""
     fold = _fold(max_wave_hosts=2)
     _apply(fold, _plan(fold))
     wave = fold.state.waves.waves_by_pool["a"]
@@ -160,6 +165,7 @@
 
 
 def test_every_host_is_maintained_once_in_28_days() -> None:
+    """Guards against hosts that are maintained too late or too often."""
     # A tenth of the planned fleet, with its failure rate, for two intervals.
     rng = random.Random(1)
     pools = {f"p{i:02}": fleets.host_ids(f"p{i:02}x", 3, 3, 1) for i in range(36)}
--- a/clementinespar/waves/tests/test_runner.py
+++ b/clementinespar/waves/tests/test_runner.py
@@ -61,22 +61,25 @@
 
 @paused_clock.test
 async def test_waves_maintain_every_host_once() -> None:
+    """Guards against repeated actions and waves that never end.
+
+    Also guards against hosts recorded as failed because they reboot.
+    """
     async with _fleet() as fleet:
         await fleet.run_until(lambda: len(fleet.maintained()) == 12, 1000)
         await fleet.node.run_rounds(60)
-        # Guards against repeated actions and against waves that never end.
         assert sorted(fleet.started("reboot")) == sorted(_DOCUMENT.hosts)
         assert fleet.node.state.waves.waves_by_pool == {}
         reasons = [wave.reason for wave in fleet.node.state.waves.finished]
         assert reasons == ["all hosts done"] * 3
         assert fleet.node.waves.explain("a").state == "idle"
-        # Guards against hosts recorded as failed because they rebooted.
         log = fleet.node.log_node.access.log
         assert not [e for e in log.entries if b"host_failed" in e.payload]
 
 
 @paused_clock.test
 async def test_rack_fails_during_a_wave() -> None:
+    """Guards against take-outs after a failure that has used up the budget."""
     async with _fleet() as fleet:
         await fleet.run_until(lambda: len(fleet.maintained()) == 1, 200)
         rack = fleet.platform.host_ids_in("c0", "r0")
@@ -84,7 +87,6 @@
         await fleet.node.run_rounds(60)
         pools = fleet.node.state.pools
         assert not any(pools.hosts_by_id[i].is_available for i in rack)
-        # Guards against take-outs after a failure that has used up the budget.
         count = len(fleet.started("drain"))
         await fleet.node.run_rounds(60)
         assert len([h for h in pools.hosts_of("a") if h.is_available]) >= 5
@@ -95,6 +97,7 @@
 
 @paused_clock.test
 async def test_platform_down_and_replies_lost() -> None:
+    """Guards against a second drain or reboot after a lost reply."""
     async with _fleet() as fleet:
         await fleet.run_until(lambda: bool(fleet.out()), 60)
         for _ in range(12):
@@ -106,7 +109,6 @@
             fleet.platform.faults.down = False
         fleet.platform.faults.lose_replies = 0
         await fleet.run_until(lambda: len(fleet.maintained()) == 12, 1500)
-        # Guards against a second drain or reboot after a lost reply.
         assert sorted(fleet.started("drain")) == sorted(_DOCUMENT.hosts)
         assert sorted(fleet.started("reboot")) == sorted(_DOCUMENT.hosts)
 
@@ -114,6 +116,7 @@
 @pytest.mark.parametrize("fault", ["down", "lag"])
 @paused_clock.test
 async def test_no_host_is_taken_out_on_an_old_host_list(fault: str) -> None:
+    """Guards against take-outs by a list that does not show recent failures."""
     async with _fleet() as fleet:
         if fault == "down":
             await asyncio.sleep(10)
@@ -132,6 +135,7 @@
 
 @paused_clock.test
 async def test_document_that_pauses_maintenance_stops_waves_but_returns_hosts() -> None:
+    """Guards against hosts that stay out of service during a pause of maintenance."""
     async with _fleet() as fleet:
         await fleet.run_until(lambda: len(fleet.out()) >= 1, 60)
         paused = fleets.make_document(
@@ -147,7 +151,7 @@
 
 @paused_clock.test
 async def test_host_that_fails_in_a_wave_stops_it() -> None:
-    # Guards against a harmful maintenance that is repeated on further hosts.
+    """Guards against a harmful maintenance that is repeated on further hosts."""
     one_at_a_time = fleets.make_document(_POOLS, min_available={"a": 7, "b": 3})
     async with _fleet(one_at_a_time) as fleet:
         await fleet.run_until(lambda: len(fleet.maintained()) == 1, 200)
@@ -199,6 +203,7 @@
 async def test_planner_paused_during_a_change_of_lease_holder(
     maintained: int, expected: codes.ResultCode
 ) -> None:
+    """Guards against a host that is taken out by an outdated decision."""
     log = fake_log.FakeLog()
     platform = fake_platform.FakePlatform(fleets.seeds_of(_DOCUMENT))
     appender = _PausingAppender()
@@ -214,7 +219,6 @@
         await fleet.run_until(lambda: len(fleet.maintained()) >= maintained, 1000)
         appender.is_paused = False
         appender.resumed.set()
-        # Guards against a host that is taken out by an outdated decision.
         await asyncio.sleep(0.5)
         assert appender.codes == [expected]
         await paused_rounds
