--- a/clementinespar/duties/holder.py
+++ b/clementinespar/duties/holder.py
@@ -47,7 +47,7 @@
     _since_offset: int | None  # offset of the claim that began the lease, if held
     _lease_ends_at: float  # loop time, counted from before the claim was sent
     _loop: asyncio.AbstractEventLoop | None  # loop whose clock ends the lease
-    _random: random.Random  # seeded by node and duty, so that tests are repeatable
+    _random: random.Random  # seeded by node and duty; repeatable in tests
 
     def __init__(
         self,
--- a/clementinespar/pools/state.py
+++ b/clementinespar/pools/state.py
@@ -18,7 +18,7 @@
     """Why a host is out of service."""
 
     operation_id: str  # record id of host_taken_out; "@offset" follows after a restart
-    offset: int  # offset of that record, the fencing token of host actions
+    offset: int  # of the record that began the operation; fencing token of host actions
     reason: messages.OutReason
     author: str  # node that took the host out
     since_ms: int  # log time
--- a/clementinespar/waves/planner.py
+++ b/clementinespar/waves/planner.py
@@ -20,12 +20,12 @@
 from clementinespar.waves import state as waves_state
 
 _DAY_MS = 86_400_000
-# Hosts are due after this share of the interval. In the rest, the waves of all pools
-# run one after another, so that no host exceeds the interval.
+# Hosts are due after this share of the interval. The rest leaves time for the waves of
+# all pools, of which only some run at a time, so that no host exceeds the interval.
 DUE_SHARE = 0.75
 # Share of the pools in which waves run at a time, scaled by the weight of roll-out time
-# against waiting. Failures are correlated within a wave, so most pools have none. With
-# 1/16, a fleet of 5 pools would run one wave at a time whatever the weights.
+# against waiting. Failures are correlated within a wave, so most pools run none at
+# any time. With 1/16, 5 pools would run one wave at a time whatever the weights.
 POOLS_SHARE = 1 / 5
 # A wave that runs for longer is given up, so that waves of other pools can start.
 WAVE_LIMIT_MS = 12 * 3_600_000
