--- a/clementinespar/node.py
+++ b/clementinespar/node.py
@@ -89,7 +89,7 @@
         """Return the one outcome of a caller's request."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        with metrics.IN_FLIGHT.track_inprogress():
+        with metrics.IN_FLIGHT_REQUESTS.track_inprogress():
             if self._follower.is_ready:
                 outcome = await super().handle(request, on_started)
             else:
@@ -381,7 +381,7 @@
                 if code not in (last_code, codes.ResultCode.INTERNAL_ERROR):
                     _log.info("rounds of duty {} now end with {}", duty, code.name)
                 last_code = code
-                metrics.ROUNDS.labels(duty, code.name).inc()
+                metrics.PLANNER_ROUNDS.labels(duty, code.name).inc()
             await asyncio.sleep(self.settings.platform.planning_interval_s)
 
     # Life.
--- a/clementinespar/peers/client.py
+++ b/clementinespar/peers/client.py
@@ -1,8 +1,9 @@
 """Client side of the peer protocol.
 
-Every call has a deadline by the event loop's clock. After a call that timed out, new
-calls use a new connection. The old one stays open for the requests that are in flight
-on it; HTTP/2 pings and the TCP user timeout end it if the other side is unresponsive.
+Every call has a deadline by the event loop's clock. After a timeout or a failed
+heartbeat, new calls use a new connection. The old one stays open for the requests that
+are in flight on it; HTTP/2 pings and the TCP user timeout end it if the other side is
+unresponsive.
 """
 
 import asyncio
--- a/clementinespar/peers/server.py
+++ b/clementinespar/peers/server.py
@@ -173,7 +173,7 @@
                 request = _decode_request(message, span.traceparent)
                 outcome = await self._handle(stream, request)
                 span.set("outcome", outcome.kind.value)
-            metrics.FORWARDED.labels(request.service, outcome.kind.value).inc()
+            metrics.FORWARDED_REQUESTS.labels(request.service, outcome.kind.value).inc()
         finally:
             del self._request_ids[stream]
             if not self._request_ids:
--- a/clementinespar/platform/service.py
+++ b/clementinespar/platform/service.py
@@ -1,6 +1,6 @@
-"""The interface of the platform's host list and host actions.
+"""Interface to the platform's host list and host actions.
 
-Only implementations of `PlatformService` know the platform's wire format.
+Only implementations of `PlatformService` depend on the platform's wire format.
 """
 
 import dataclasses
@@ -18,14 +18,14 @@
     host_id: str
     data_centre: str
     rack: str
-    address: str  # IP number of the target on this host
+    address: str  # IP address of the target on this host
     port: int  # TCP port of the target on this host
     condition: HostCondition
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostList:
-    """The platform's view of hosts, which lags behind reality."""
+    """The platform's list of hosts, which may be out of date."""
 
     observed_ms: int  # wall time at which the platform made the list
     hosts_by_id: dict[str, ListedHost]
@@ -33,18 +33,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Operation:
-    """Identity of a host action; repeating it with the same id has no new effect."""
+    """Identity of a host action; repeating it with the same id has no further effect.
+
+    The platform refuses an operation whose fencing offset is lower than that of an
+    operation it has accepted for the same host.
+    """
 
     operation_id: str  # of `pools.state.HostOut`
-    fencing_offset: int  # offset of `pools.state.HostOut`; a lower one is stale
+    fencing_offset: int  # offset of `pools.state.HostOut`
 
 
 class PlatformService(Protocol):
     """Host list and host actions of the platform.
 
-    Every call raises `errors.PlatformUnavailableError` when no answer came; the action
-    may then have taken effect, and `operation_status` tells. Host actions raise
-    `errors.PlatformRefusedError` when the platform refused them without effect, for
+    Every call raises `errors.PlatformUnavailableError` if there is no valid answer; the
+    action may then have taken effect, which `operation_status` returns. Host actions
+    raise `errors.PlatformRefusedError` if the platform refused them without effect, for
     example because of a stale fencing offset.
     """
 
@@ -53,7 +57,7 @@
         ...
 
     async def drain(self, host_id: str, operation: Operation) -> None:
-        """Start to drain a host: its target finishes its work and takes no more."""
+        """Start to drain a host: its target finishes its work and accepts no more."""
         ...
 
     async def reboot(self, host_id: str, operation: Operation, pool: str) -> None:
@@ -63,20 +67,20 @@
     async def operation_status(
         self, operation_id: str, step: OperationStep
     ) -> OperationState:
-        """Return how far a step of an operation is."""
+        """Return the state of a step of an operation."""
         ...
 
     async def throttle(self, host_id: str, request_id: str) -> None:
-        """Give a straggling task on a host less of its processors."""
+        """Reduce the CPU share of a straggling task on a host."""
         ...
 
     async def checkpoint(self, host_id: str, request_id: str) -> None:
-        """Checkpoint a task, so that it can go on elsewhere."""
+        """Checkpoint a task, so that it can continue on another host."""
         ...
 
 
 class HostListSource(Protocol):
-    """Holder of the newest host list that this node has read."""
+    """Source of the newest host list that this node has read."""
 
     @property
     def latest(self) -> HostList | None:
@@ -85,5 +89,5 @@
 
     @property
     def age_s(self) -> float:
-        """Seconds of event-loop time since the list was read; infinite before."""
+        """Seconds of loop time since the list was read; infinite before the first."""
         ...
--- a/clementinespar/platform/tests/test_http.py
+++ b/clementinespar/platform/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's client against the HTTP stand-in."""
+"""Tests of the platform client against the HTTP stand-in."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
     fake_platform.HostSeed("h2", "c0", "r1", "a"),
     fake_platform.HostSeed("h3", "c1", "r0", "a"),
 ]
-_FIRST = service.Operation("10-a@5", 5)
+_OPERATION = service.Operation("10-a@5", 5)
 
 
 @contextlib.asynccontextmanager
@@ -51,7 +51,7 @@
 
 
 async def _wait(client: http.HttpPlatformService, step: service.OperationStep) -> None:
-    while await client.operation_status(_FIRST.operation_id, step) != "done":
+    while await client.operation_status(_OPERATION.operation_id, step) != "done":
         await asyncio.sleep(0)
 
 
@@ -60,15 +60,17 @@
         client: http.HttpPlatformService, platform: fake_platform.FakePlatform
     ) -> None:
         host_id = _SEEDS[0].host_id
-        assert await client.operation_status(_FIRST.operation_id, "drain") == "unknown"
-        await client.drain(host_id, _FIRST)
+        assert (
+            await client.operation_status(_OPERATION.operation_id, "drain") == "unknown"
+        )
+        await client.drain(host_id, _OPERATION)
         await _wait(client, "drain")
         listed = await client.list_hosts()
         assert listed.hosts_by_id[host_id].condition == "leaving"
         assert listed.hosts_by_id["h2"].condition == "live"
-        await client.reboot(host_id, _FIRST, "b")
+        await client.reboot(host_id, _OPERATION, "b")
         await _wait(client, "reboot")
-        await client.reboot(host_id, _FIRST, "b")  # repeated, without effect
+        await client.reboot(host_id, _OPERATION, "b")  # repeated, without effect
         assert platform.pool_by_host_id[host_id] == "b"
         await client.throttle("h2", "task")
         await client.checkpoint("h2", "task")
@@ -86,13 +88,13 @@
     _run(scenario)
 
 
-def test_hosts_are_transferred_only_when_they_changed() -> None:
-    # Guards against a poll of 150 KB every second at the planned size.
+def test_unchanged_hosts_are_not_transferred_again() -> None:
+    # Guards against transferring 150 KB every second, the list at the planned size.
     async def scenario(
         client: http.HttpPlatformService, platform: fake_platform.FakePlatform
     ) -> None:
         first = await client.list_hosts()
-        await asyncio.sleep(0.002)  # the time of a list is in whole milliseconds
+        await asyncio.sleep(0.002)  # the time of a list has a resolution of 1 ms
         second = await client.list_hosts()
         assert second.observed_ms > first.observed_ms
         assert second.hosts_by_id is first.hosts_by_id
@@ -114,8 +116,10 @@
         ("silent", codes.ResultCode.PLATFORM_UNAVAILABLE, False),
     ],
 )
-def test_faults(fault: str, code: codes.ResultCode, has_effect: bool) -> None:
-    # Guards against a lost reply that is taken for a refusal, and the reverse.
+def test_errors_distinguish_refused_from_unavailable_actions(
+    fault: str, code: codes.ResultCode, has_effect: bool
+) -> None:
+    # Guards against a lost reply that is reported as a refusal, and the reverse.
     async def scenario(
         client: http.HttpPlatformService, platform: fake_platform.FakePlatform
     ) -> None:
@@ -126,10 +130,10 @@
         platform.faults.lose_replies = 1 if fault == "lost" else 0
         platform.fail(["h2"] if fault == "failed" else [])
         with pytest.raises(errors.ClementinesparError) as raised:
-            await client.drain("h2", _FIRST)
+            await client.drain("h2", _OPERATION)
         assert raised.value.code == code
         platform.faults = fake_platform.Faults()
-        state = await client.operation_status(_FIRST.operation_id, "drain")
+        state = await client.operation_status(_OPERATION.operation_id, "drain")
         assert (state != "unknown") == has_effect
 
     _run(scenario, timeout_s=0.5 if fault == "silent" else 5.0)
@@ -139,7 +143,7 @@
     ("status", "body"),
     [(200, b"{}"), (200, b"[1]"), (302, b""), (304, b""), (500, b"")],
 )
-def test_bad_replies_are_no_lists(status: int, body: bytes) -> None:
+def test_invalid_replies_raise_platform_unavailable(status: int, body: bytes) -> None:
     class Handler(web.RequestHandler):
         def get(self) -> None:
             self.set_status(status)
@@ -163,7 +167,7 @@
     asyncio.run(main())
 
 
-def test_standin_switches_and_target_notices() -> None:
+def test_standin_fault_switches_and_target_notices() -> None:
     async def main() -> None:
         notices: asyncio.Queue[dict[str, bool]] = asyncio.Queue()
 
@@ -201,13 +205,13 @@
             assert bad.code == 400
             task = json.dumps({"task_id": "t", "host_id": "h4", "lease_s": 60})
             await post.fetch(f"{url}/tasks", method="POST", body=task)
-            await platform.drain("h4", _FIRST)
+            await platform.drain("h4", _OPERATION)
             assert await notices.get() == {"leaving": True}
             while await platform.operation_status("10-a@5", "drain") != "done":
                 await asyncio.sleep(0)
             tasks = await post.fetch(f"{url}/tasks")
-            assert json.loads(tasks.body) == {"tasks": []}  # a drain ends leases
-            await platform.reboot("h4", _FIRST, "b")
+            assert json.loads(tasks.body) == {"tasks": []}  # draining ends leases
+            await platform.reboot("h4", _OPERATION, "b")
             assert await notices.get() == {"leaving": False}
             history = json.loads((await post.fetch(f"{url}/actions")).body)
             assert history["pools"]["h4"] == "b"
--- a/clementinespar/platform/tests/test_watcher.py
+++ b/clementinespar/platform/tests/test_watcher.py
@@ -1,4 +1,4 @@
-"""Tests of the host list watcher with a paused clock."""
+"""Tests of the host list watcher on a paused clock."""
 
 import asyncio
 import math
@@ -37,19 +37,19 @@
 
 
 @paused_clock.test
-async def test_slow_or_repeated_lists_do_not_look_young() -> None:
-    # Guards against a frozen list that is fresh by the time of its last reading.
-    class Frozen(fake_platform.FakePlatform):
+async def test_slow_or_repeated_replies_do_not_reset_the_age() -> None:
+    # Guards against an old list that counts as new because it was read again.
+    class FrozenPlatform(fake_platform.FakePlatform):
         async def list_hosts(self) -> service.HostList:
             await asyncio.sleep(2)
             return service.HostList(1_000, {})
 
-    frozen = watcher.HostListWatcher(Frozen(_SEEDS), 1.0)
-    await frozen.poll()
-    assert frozen.age_s == 2.0  # from before the request
-    async with frozen.running():
+    watched = watcher.HostListWatcher(FrozenPlatform(_SEEDS), 1.0)
+    await watched.poll()
+    assert watched.age_s == 2.0  # the age starts before the request
+    async with watched.running():
         await asyncio.sleep(60)
-    assert frozen.age_s >= 60
+    assert watched.age_s >= 60
 
 
 @paused_clock.test
--- a/clementinespar/platform/watcher.py
+++ b/clementinespar/platform/watcher.py
@@ -1,4 +1,4 @@
-"""Keeps the newest host list that this node has read from the platform."""
+"""Polls the platform's host list and keeps the newest one."""
 
 import asyncio
 import contextlib
@@ -19,14 +19,14 @@
     Parameters
     ----------
     platform : service.PlatformService
-        Where the list is read.
+        Service from which the list is read.
     poll_interval_s : float
         Seconds between two reads.
     """
 
-    _platform: service.PlatformService  # where the list is read
-    _poll_interval_s: float  # seconds between two reads
-    _latest: service.HostList | None  # newest list, by the platform's own time
+    _platform: service.PlatformService
+    _poll_interval_s: float
+    _latest: service.HostList | None  # newest list, by the platform's own clock
     _read_at: float  # loop time before the first read that returned `_latest`
 
     def __init__(
@@ -46,7 +46,7 @@
     def age_s(self) -> float:
         """Seconds of loop time since the newest list was first read.
 
-        A platform that repeats the same list does not make it younger.
+        Reading the same list again does not reset its age.
         """
         return asyncio.get_running_loop().time() - self._read_at
 
@@ -56,7 +56,7 @@
         Raises
         ------
         errors.PlatformUnavailableError
-            The platform did not answer; the newest list is kept.
+            The platform did not send a valid list; the newest one is kept.
         """
         began = asyncio.get_running_loop().time()
         host_list = await self._platform.list_hosts()
@@ -66,7 +66,7 @@
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator["HostListWatcher"]:
-        """Poll in the background until the block ends."""
+        """Poll in the background while the context is entered."""
         task = asyncio.create_task(self._poll_forever(), name="host list watcher")
         try:
             yield self
@@ -82,9 +82,9 @@
                 is_available = True
             except errors.ClementinesparError as error:
                 if is_available:
-                    _LOG.warning("host list is not available: {}", error)
+                    _LOG.warning("host list is unavailable: {}", error)
                 is_available = False
             except Exception:
-                # The task must go on: nobody else would notice that it ended.
-                _LOG.exception("the host list could not be read")
+                # The task must continue: no other code would detect that it ended.
+                _LOG.exception("unexpected error while reading the host list")
             await asyncio.sleep(self._poll_interval_s)
--- a/clementinespar/telemetry/logs.py
+++ b/clementinespar/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Log lines as JSON objects on standard error, one a line."""
+"""Log output as JSON objects on standard error, one per line."""
 
 import contextlib
 import datetime
@@ -13,9 +13,9 @@
 
 from clementinespar import options
 
-MAX_MESSAGE_CHARACTERS = 2_000  # a longer message is cut: one line must stay readable
-# Extra fields with these words in their name never reach the output. Bodies belong to
-# callers; the others are credentials.
+MAX_MESSAGE_CHARACTERS = 2_000  # longer messages are truncated to stay readable
+# The values of extra fields whose name contains one of these words are redacted. Bodies
+# are data of callers; the others are credentials.
 _SECRET_WORDS = (
     "authorization",
     "body",
@@ -26,7 +26,7 @@
     "token",
 )
 _REDACTED = "[redacted]"
-# The standard logging module has no notice level.
+# Levels of the standard logging module, which has no notice level.
 _LIBRARY_LEVELS: dict[options.LogLevel, int] = {
     "debug": logging.DEBUG,
     "info": logging.INFO,
@@ -37,12 +37,12 @@
 
 
 class JsonFormatter:
-    """Formats records as one JSON object each.
+    """Formats each record as one JSON object.
 
     Parameters
     ----------
     node : str
-        Name of this node, in every line.
+        Name of this node, included in every line.
     """
 
     _node: str
@@ -51,7 +51,7 @@
         self._node = node
 
     def __call__(self, record: Any, handler: Any) -> str:
-        """Return the line of one record."""
+        """Return a record as one line of JSON."""
         line: dict[str, object] = {
             "time": record.time.replace(tzinfo=datetime.UTC).isoformat(
                 timespec="milliseconds"
@@ -79,7 +79,7 @@
 def logging_to(
     settings: options.TelemetrySettings, node: str, stream: TextIO | None = None
 ) -> Iterator[None]:
-    """Send all log records of the process to a stream while the context is entered.
+    """Write all log records of the process to a stream while the context is entered.
 
     Parameters
     ----------
@@ -101,16 +101,16 @@
 
 @contextlib.contextmanager
 def _redirecting_libraries(level: options.LogLevel) -> Iterator[None]:
-    """Send records of the standard logging module to logbook from a level on.
+    """Redirect records of the standard logging module from a level on to logbook.
 
-    The level is set on the root logger as well: redirection alone leaves it at debug,
-    and tornado's curl client then formats a record for each line of its transfers.
+    The level is also set on the root logger. Redirection alone leaves it at debug, and
+    tornado's curl client would then format a record for each line of its transfers.
     """
     root = logging.getLogger()
-    kept = root.level
+    previous_level = root.level
     with logbook.compat.redirected_logging(set_root_logger_level=False):
         root.setLevel(_LIBRARY_LEVELS[level])
         try:
             yield
         finally:
-            root.setLevel(kept)
+            root.setLevel(previous_level)
--- a/clementinespar/telemetry/metrics.py
+++ b/clementinespar/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""All metrics of a node, in a registry of their own."""
+"""All metrics of a node, in a separate registry."""
 
 import time
 
@@ -9,42 +9,42 @@
 
 REGISTRY = prometheus_client.CollectorRegistry()
 
-# Callers' deadlines lie between tens of milliseconds and minutes.
+# Seconds; deadlines of callers range from tens of milliseconds to minutes.
 _DURATION_BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60)
 
 REQUESTS = prometheus_client.Counter(
     "clementinespar_requests_total",
-    "Requests of callers by outcome, counted at the ingress node",
+    "Requests of callers by service, outcome and result code, at the ingress node",
     ("service", "outcome", "code"),
     registry=REGISTRY,
 )
 REQUEST_SECONDS = prometheus_client.Histogram(
     "clementinespar_request_seconds",
-    "Time from the arrival of a request until its outcome, at the ingress node",
+    "Time from the arrival of a request to its outcome, at the ingress node",
     ("service",),
     buckets=_DURATION_BUCKETS,
     registry=REGISTRY,
 )
-WAIT_SECONDS = prometheus_client.Histogram(
+QUEUE_WAIT_SECONDS = prometheus_client.Histogram(
     "clementinespar_queue_wait_seconds",
-    "Time of requests in the owner's queue",
+    "Time that requests wait in the owner's queue",
     ("service",),
     buckets=_DURATION_BUCKETS,
     registry=REGISTRY,
 )
-ATTEMPTS = prometheus_client.Counter(
+TARGET_ATTEMPTS = prometheus_client.Counter(
     "clementinespar_target_attempts_total",
     "Attempts sent to targets",
     ("service",),
     registry=REGISTRY,
 )
-FORWARDED = prometheus_client.Counter(
+FORWARDED_REQUESTS = prometheus_client.Counter(
     "clementinespar_forwarded_requests_total",
-    "Requests that other nodes sent to this one as the owner of their queue",
+    "Requests that other nodes forwarded to this one as the owner of their queue",
     ("service", "outcome"),
     registry=REGISTRY,
 )
-IN_FLIGHT = prometheus_client.Gauge(
+IN_FLIGHT_REQUESTS = prometheus_client.Gauge(
     "clementinespar_requests_in_flight",
     "Requests of callers without an outcome yet",
     registry=REGISTRY,
@@ -71,9 +71,9 @@
     "Other entry nodes that answer heartbeats",
     registry=REGISTRY,
 )
-PEER_BYTES = prometheus_client.Counter(
+HEARTBEAT_BYTES = prometheus_client.Counter(
     "clementinespar_heartbeat_bytes_total",
-    "Encoded heartbeat messages sent and received, without framing",
+    "Bytes of encoded heartbeat messages sent and received, without framing",
     ("direction",),
     registry=REGISTRY,
 )
@@ -84,7 +84,7 @@
 )
 DUTY_HELD = prometheus_client.Gauge(
     "clementinespar_duty_held",
-    "Whether this node holds a duty",
+    "Whether this node is the lease holder of a duty",
     ("duty",),
     registry=REGISTRY,
 )
@@ -93,9 +93,9 @@
     "Whether this node accepts work",
     registry=REGISTRY,
 )
-ROUNDS = prometheus_client.Counter(
+PLANNER_ROUNDS = prometheus_client.Counter(
     "clementinespar_planner_rounds_total",
-    "Rounds of the planners, by whether they ended without an error",
+    "Rounds of the planners by duty and result code",
     ("duty", "result"),
     registry=REGISTRY,
 )
@@ -111,7 +111,7 @@
 
 
 def count_outcome(service: str, outcome: model.Outcome, seconds: float) -> None:
-    """Count one outcome given to a caller."""
+    """Count one outcome returned to a caller, and the seconds that it took."""
     REQUESTS.labels(service, outcome.kind.value, str(int(outcome.code))).inc()
     REQUEST_SECONDS.labels(service).observe(seconds)
 
--- a/clementinespar/telemetry/tests/test_library_level.py
+++ b/clementinespar/telemetry/tests/test_library_level.py
@@ -13,10 +13,10 @@
     ("level", "is_debug", "is_info"),
     [("debug", True, True), ("info", False, True), ("warning", False, False)],
 )
-def test_libraries_do_not_format_records_below_the_level(
+def test_library_loggers_are_disabled_below_the_level(
     level: options.LogLevel, is_debug: bool, is_info: bool
 ) -> None:
-    """Guards against debug records for each line of each curl transfer."""
+    """Guards against formatting a debug record for each line of a curl transfer."""
     settings = options.TelemetrySettings(log_level=level)
     with logs.logging_to(settings, "node-a", io.StringIO()):
         curl = logging.getLogger("tornado.curl_httpclient")
@@ -25,7 +25,7 @@
 
 
 def test_the_level_of_the_root_logger_is_restored() -> None:
-    kept = logging.getLogger().level
+    previous_level = logging.getLogger().level
     with logs.logging_to(options.TelemetrySettings(), "node-a", io.StringIO()):
         pass
-    assert logging.getLogger().level == kept
+    assert logging.getLogger().level == previous_level
--- a/clementinespar/telemetry/tests/test_telemetry.py
+++ b/clementinespar/telemetry/tests/test_telemetry.py
@@ -17,7 +17,7 @@
 from clementinespar.telemetry import logs, metrics, traces
 
 
-def _lines(settings: options.TelemetrySettings) -> list[dict[str, object]]:
+def _logged_lines(settings: options.TelemetrySettings) -> list[dict[str, object]]:
     stream = io.StringIO()
     with logs.logging_to(settings, "n1", stream):
         log = logbook.Logger("test")
@@ -32,7 +32,9 @@
 
 
 def test_each_record_is_one_json_line_without_secrets() -> None:
-    warning, library, failure = _lines(options.TelemetrySettings(log_level="info"))
+    warning, library, failure = _logged_lines(
+        options.TelemetrySettings(log_level="info")
+    )
     assert warning["message"] == "line 1\nbreak"
     assert warning["node"] == "n1"
     assert warning["level"] == "warning"
@@ -42,8 +44,8 @@
     assert failure["error"] == "ValueError: bad"
 
 
-def test_level_of_the_settings_bounds_what_is_written() -> None:
-    lines = _lines(options.TelemetrySettings(log_level="error"))
+def test_records_below_the_configured_level_are_not_written() -> None:
+    lines = _logged_lines(options.TelemetrySettings(log_level="error"))
     assert [line["level"] for line in lines] == ["error", "error"]
 
 
@@ -82,9 +84,12 @@
     assert finished.attributes is not None
     assert finished.attributes["clementinespar.ingress"] == "n2"
     assert finished.attributes["clementinespar.outcome"] == "answered"
-    own = finished.get_span_context()
-    assert own is not None
-    assert span.traceparent == f"00-{own.trace_id:032x}-{own.span_id:016x}-01"
+    span_context = finished.get_span_context()
+    assert span_context is not None
+    assert (
+        span.traceparent
+        == f"00-{span_context.trace_id:032x}-{span_context.span_id:016x}-01"
+    )
 
 
 @pytest.mark.parametrize("text", [None, "", "00-zz", "00-" + "0" * 32 + "-1-01"])
@@ -93,7 +98,7 @@
         assert span.traceparent != text or text is None
 
 
-def test_context_passes_unchanged_without_an_exporter() -> None:
+def test_trace_context_is_unchanged_without_an_exporter() -> None:
     with (
         traces.tracing(options.TelemetrySettings(), "n1"),
         traces.hop_span("hop", _PARENT) as span,
--- a/clementinespar/telemetry/traces.py
+++ b/clementinespar/telemetry/traces.py
@@ -1,8 +1,8 @@
 """Trace spans, one for each hop of a request, and their export.
 
-Code that opens spans uses the OpenTelemetry API. The SDK is imported only when the
-settings name an exporter; without one, the caller's trace context is passed on
-unchanged, which costs no memory.
+Code that opens spans uses the OpenTelemetry API. To save memory, the SDK is imported
+only if the settings name an exporter. Without one, the caller's trace context is passed
+to the next hop unchanged.
 """
 
 import contextlib
@@ -22,15 +22,15 @@
 _PROPAGATOR = tracecontext.TraceContextTextMapPropagator()
 _TRACER = trace.get_tracer("clementinespar")
 _ATTRIBUTE_PREFIX = "clementinespar."
-_FLUSH_TIMEOUT_MS = 2_000  # bounds a stop while the collector does not answer
+_FLUSH_TIMEOUT_MS = 2_000  # bounds the time to stop while the collector is unavailable
 _EXPORT_TIMEOUT_S = 2.0
 
-# Attribute values of a span.
+# Value of a span attribute.
 Attribute = str | int | float | bool
 
 
 class HopSpan:
-    """One hop, as seen by the code that it covers.
+    """Span of one hop, for the code that runs in it.
 
     Parameters
     ----------
@@ -48,7 +48,7 @@
         self._span = span
 
     def set(self, name: str, value: Attribute) -> None:
-        """Set an attribute."""
+        """Set an attribute of the span."""
         self._span.set_attribute(_ATTRIBUTE_PREFIX + name, value)
 
 
@@ -56,14 +56,14 @@
 def hop_span(
     name: str, traceparent: str | None, **attributes: Attribute
 ) -> Iterator[HopSpan]:
-    """Open the span of a hop that another process called.
+    """Open the span of a call from another process.
 
     Parameters
     ----------
     name : str
-        What the hop does.
+        Name of the span.
     traceparent : str or None
-        W3C trace context of the previous hop; without a valid one a new trace begins.
+        W3C trace context of the previous hop; if it is invalid, a new trace begins.
     **attributes
         Attributes of the span.
     """
@@ -80,9 +80,10 @@
 
 @contextlib.contextmanager
 def tracing(settings: options.TelemetrySettings, node: str) -> Iterator[None]:
-    """Export spans as the settings say while the context is entered.
+    """Export spans as configured while the context is entered.
 
-    The provider is the process's own for good: OpenTelemetry allows to set it once.
+    The provider stays set after that, because OpenTelemetry allows setting it only once
+    per process.
     """
     if settings.trace_exporter == "none":
         yield
@@ -125,18 +126,18 @@
             self, spans: Sequence[sdk_trace.ReadableSpan]
         ) -> sdk_export.SpanExportResult:
             for span in spans:
-                _log.info("span {}", span.name, extra=_describe_span(span))
+                _log.info("span {}", span.name, extra=_span_fields(span))
             return sdk_export.SpanExportResult.SUCCESS
 
     return LogExporter()
 
 
-def _describe_span(span: Any) -> dict[str, object]:
-    own = span.get_span_context()
+def _span_fields(span: Any) -> dict[str, object]:
+    span_context = span.get_span_context()
     duration_ns = (span.end_time or 0) - (span.start_time or 0)
     return {
-        "trace_id": f"{own.trace_id:032x}",
-        "span_id": f"{own.span_id:016x}",
+        "trace_id": f"{span_context.trace_id:032x}",
+        "span_id": f"{span_context.span_id:016x}",
         "parent_id": f"{span.parent.span_id:016x}" if span.parent else None,
         "duration_ms": duration_ns / 1e6,
         **dict(span.attributes or {}),
