--- a/clementinespar/peers/membership.py
+++ b/clementinespar/peers/membership.py
@@ -396,9 +396,10 @@
     def _add_or_update_member(self, member: Member, is_sender: bool) -> bool:
         """Add or update a member; return False if it is not accepted.
 
-        A member is not accepted if a later incarnation is known, if it has this node's
-        name, if its endpoint is missing or if there are `MAX_MEMBERS` already.
-        ``is_sender`` distinguishes the sender of the message from listed members.
+        A member is not accepted if a later incarnation is known, unless that one no
+        longer responds and this one sent the message (``is_sender``). A member with
+        this node's name is not accepted either, nor a new one without an endpoint or
+        beyond `MAX_MEMBERS`.
         """
         if member.name == self.name:
             self._resolve_name_conflict(member)
--- a/clementinespar/peers/tests/test_membership.py
+++ b/clementinespar/peers/tests/test_membership.py
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize(("source", "target"), [(_A, _B), (_B, _A)])
-def test_node_whose_heartbeats_arrive_but_is_unreachable_is_dead(
+def test_unreachable_node_is_dead_although_its_heartbeats_arrive(
     source: str, target: str
 ) -> None:
     # Guards against forwarding requests to an owner that they cannot reach.
