--- a/clementinespar/peers/directory.py
+++ b/clementinespar/peers/directory.py
@@ -197,7 +197,8 @@
     ) -> tuple[list[str], list[str]]:
         """Return the live nodes that have applied a revision, and those that have not.
 
-        A node with a later revision counts as well, because revisions only grow.
+        A node with a later revision counts as well: revisions only grow, so the earlier
+        one was in force on it.
         """
         applied: list[str] = []
         missing: list[str] = []
--- a/clementinespar/peers/server.py
+++ b/clementinespar/peers/server.py
@@ -185,7 +185,7 @@
             outcome = model.Outcome(
                 model.OutcomeKind.NOT_RUN,
                 codes.ResultCode.NOT_READY,
-                "the owner node has not received the list of targets yet",
+                "the owner node does not know the targets yet",
             )
             await stream.send_message(
                 peer_pb2.DispatchEvent(outcome=_encode_outcome(outcome))
