--- a/clementinespar/peers/tests/test_membership.py
+++ b/clementinespar/peers/tests/test_membership.py
@@ -99,6 +99,7 @@
 def test_nodes_that_forgot_each_other_reconnect_after_a_long_cut(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    # Guards against a partition that stays after the network has recovered.
     monkeypatch.setattr(membership, "FORGET_AFTER_S", 60.0)
 
     async def main() -> None:
@@ -132,6 +133,7 @@
 
 
 def test_replacement_at_a_new_address_supersedes_its_predecessor() -> None:
+    # Guards against two running nodes of one name after the predecessor resumes.
     async def main() -> None:
         network = memory_network.Network()
         async with _three_nodes(network) as (a, b, c):
@@ -154,6 +156,7 @@
 
 
 def test_replacement_whose_clock_is_behind_is_accepted() -> None:
+    # Guards against refusing a replacement whose start time is the earlier one.
     async def main() -> None:
         network = memory_network.Network()
         async with memory_network.running_node(network, "a", _A) as a:
@@ -172,6 +175,7 @@
 
 
 def test_other_node_at_the_address_of_a_dead_one() -> None:
+    # Guards against a dead node that counts as alive because another one answers.
     async def main() -> None:
         network = memory_network.Network()
         async with memory_network.running_node(network, "a", _A) as a:
@@ -201,6 +205,7 @@
 
 
 def test_announce_updates_every_live_node_before_it_returns() -> None:
+    # Guards against forwarding requests to a node that has begun to drain.
     async def main() -> None:
         network = memory_network.Network()
         async with _three_nodes(network) as (a, b, c):
@@ -215,6 +220,7 @@
 
 
 def test_member_lists_are_sent_on_change_only() -> None:
+    # Guards against the cost of a member list in every heartbeat.
     async def main() -> None:
         network = memory_network.Network()
         async with _three_nodes(network):
--- a/clementinespar/peers/tests/test_relay.py
+++ b/clementinespar/peers/tests/test_relay.py
@@ -96,6 +96,7 @@
     source: str,
     count: int,
 ) -> None:
+    # Guards against a gap, by which a node would skip entries of the log.
     entries = paused_clock.run(_fetch(_relay(monkeypatch, peers), from_offset))
     assert [entry.offset for entry in entries] == list(
         range(from_offset, from_offset + count)
--- a/clementinespar/peers/tests/test_wire.py
+++ b/clementinespar/peers/tests/test_wire.py
@@ -183,6 +183,7 @@
 
 
 def test_request_to_an_unreachable_owner_was_not_run() -> None:
+    # Guards against an unknown outcome for a request that was never sent.
     async def main() -> None:
         listener = server.bind("127.0.0.1", 0)
         endpoint = f"127.0.0.1:{listener.getsockname()[1]}"
@@ -197,6 +198,7 @@
 
 
 def test_cancelled_request_is_cancelled_at_the_owner() -> None:
+    # Guards against queued requests at the owner whose caller has left.
     async def main() -> None:
         async with connected() as connection:
             task = asyncio.create_task(
@@ -212,6 +214,7 @@
 
 
 def test_request_over_the_limit_is_refused_on_both_sides() -> None:
+    # Guards against an unknown outcome for a request that was too large to run.
     async def main() -> None:
         async with connected() as connection:
             body = bytes(_SETTINGS.max_message_bytes)
