--- a/clementinespar/requests/admission.py
+++ b/clementinespar/requests/admission.py
@@ -8,17 +8,17 @@
 
 # Bodies that may wait or be in flight at once. The limits of the queues count requests
 # only, and a node has 128 MB for everything.
-MAX_HELD_BYTES = 48 * 1024 * 1024
+MAX_BUFFERED_BYTES = 48 * 1024 * 1024
 
 
 def check_capacity(
-    flight: flights.Flight,
+    in_flight: flights.InFlightRequest,
     usable: Sequence[target_pool.PoolMember],
     document: document_model.Document,
     declared: document_model.Service,
     *,
     has_targets: bool,
-    held_bytes: int,
+    buffered_bytes: int,
     now: float,
 ) -> model.Outcome | None:
     """Refuse early what cannot start before its deadline.
@@ -38,7 +38,7 @@
     now : float
         Event-loop time.
     """
-    service, entry = flight.service, flight.entry
+    service, entry = in_flight.service, in_flight.entry
     if entry.deadline <= now:
         return model.not_run(
             codes.ResultCode.DEADLINE_PASSED, "the deadline has passed"
@@ -47,29 +47,29 @@
         return model.not_run(
             codes.ResultCode.NO_TARGET, f"no target serves {service.name} now"
         )
-    least_s = service.run_times.least_s(entry.kind, now)
-    if now + least_s > entry.deadline:
+    min_expected_s = service.run_times.min_expected_s(entry.kind, now)
+    if now + min_expected_s > entry.deadline:
         return model.not_run(
             codes.ResultCode.DEADLINE_TOO_SHORT,
-            f"such a request takes at least {least_s:.3f} s",
+            f"such a request takes at least {min_expected_s:.3f} s",
         )
-    waiting = len(service.queue) + service.claiming
+    waiting = len(service.queue) + service.claiming_count
     has_free = any(member.free for member in usable)
     # Long work may fill its share of the queue only, so it cannot crowd out short
     # work before either of them starts.
-    long_room = max(1, int(declared.max_queue * (1.0 - declared.short_reserve)))
+    max_queued_long = max(1, int(declared.max_queue * (1.0 - declared.short_reserve)))
     is_full = waiting >= declared.max_queue and (waiting > 0 or not has_free)
-    if is_full or (entry.is_long and service.queue.count(True) >= long_room):
+    if is_full or (entry.is_long and service.queue.count(True) >= max_queued_long):
         return model.not_run(
             codes.ResultCode.QUEUE_FULL, f"{waiting} requests wait already"
         )
-    if held_bytes + len(flight.request.body) > MAX_HELD_BYTES:
+    if buffered_bytes + len(in_flight.request.body) > MAX_BUFFERED_BYTES:
         return model.not_run(
             codes.ResultCode.QUEUE_FULL, "the waiting requests are too large"
         )
-    shares = selection.compute_shares(service, usable, document, declared)
-    wait_s, is_quota = service.queue.expected_wait_s(entry, shares, now)
-    if shares.total and now + wait_s + least_s > entry.deadline:
+    slot_counts = selection.count_slots(service, usable, document, declared)
+    wait_s, is_quota = service.queue.expected_wait_s(entry, slot_counts, now)
+    if slot_counts.total and now + wait_s + min_expected_s > entry.deadline:
         return model.not_run(
             codes.ResultCode.TEAM_QUOTA_EXCEEDED
             if is_quota
--- a/clementinespar/requests/claiming.py
+++ b/clementinespar/requests/claiming.py
@@ -18,7 +18,7 @@
 _log = logbook.Logger(__name__)
 
 
-class Claiming:
+class RequestClaimer:
     """Claims and releases requests before they are sent.
 
     Parameters
@@ -68,7 +68,7 @@
                 code, "another claim of this id came first; it may have run"
             )
         if code == codes.ResultCode.CLAIM_TOO_OLD:
-            return self._refuse_age(request_id)
+            return self._reject_by_age(request_id)
         if code == codes.ResultCode.REQUEST_INVALID:
             return model.not_run(
                 code,
@@ -82,11 +82,11 @@
 
     async def release(self, request: model.Request) -> None:
         """Release a claim; a refusal waits for it for a short time only."""
-        task = self._spawn(self._release_quietly(request.request_id))
+        task = self._spawn(self._try_release(request.request_id))
         remaining_s = request.deadline - asyncio.get_running_loop().time()
         await asyncio.wait({task}, timeout=max(0.0, min(RELEASE_WAIT_S, remaining_s)))
 
-    def _refuse_age(self, request_id: str) -> model.Outcome:
+    def _reject_by_age(self, request_id: str) -> model.Outcome:
         log_time_ms = self._source.state.log_time_ms
         if (
             claims_state.check_age(request_id, log_time_ms)
@@ -103,7 +103,7 @@
             "the id is too old to tell whether it ran before",
         )
 
-    async def _release_quietly(self, request_id: str) -> None:
+    async def _try_release(self, request_id: str) -> None:
         try:
             await self._claims.release(request_id)
         except Exception as error:
@@ -114,7 +114,7 @@
     ) -> None:
         await asyncio.wait({task})
         if task.exception() is None and task.result() == codes.ResultCode.OK:
-            await self._release_quietly(request_id)
+            await self._try_release(request_id)
 
     def _spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         task = asyncio.get_running_loop().create_task(work)
--- a/clementinespar/requests/demand_meter.py
+++ b/clementinespar/requests/demand_meter.py
@@ -12,21 +12,21 @@
 
     _mean_slots: float
     _refused_per_s: float
-    _level_slots: float  # demand since the last update
+    _current_slots: float  # demand since the last update
     _updated_at: float  # event-loop time
 
     def __init__(self, now: float) -> None:
         self._mean_slots = 0.0
         self._refused_per_s = 0.0
-        self._level_slots = 0.0
+        self._current_slots = 0.0
         self._updated_at = now
 
     def set_level(self, slots: float, now: float) -> None:
         """State the demand from now on."""
         self._advance(now)
-        self._level_slots = slots
+        self._current_slots = slots
 
-    def note_refusal(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """Count a refusal for want of capacity."""
         self._advance(now)
         self._refused_per_s += 1.0 / SMOOTHING_S
@@ -37,9 +37,9 @@
         return self._mean_slots, self._refused_per_s
 
     def _advance(self, now: float) -> None:
-        kept = math.exp(-max(0.0, now - self._updated_at) / SMOOTHING_S)
-        self._mean_slots = self._level_slots + kept * (
-            self._mean_slots - self._level_slots
+        decay = math.exp(-max(0.0, now - self._updated_at) / SMOOTHING_S)
+        self._mean_slots = self._current_slots + decay * (
+            self._mean_slots - self._current_slots
         )
-        self._refused_per_s *= kept
+        self._refused_per_s *= decay
         self._updated_at = now
--- a/clementinespar/requests/dispatcher.py
+++ b/clementinespar/requests/dispatcher.py
@@ -34,7 +34,7 @@
 )
 
 # The fold and the host list change without notice, so waiting requests are tried again.
-PUMP_INTERVAL_S = 0.1
+DISPATCH_INTERVAL_S = 0.1
 # After this time without work another node may have owned the queue, so the targets'
 # busy slots are read again.
 OWNERSHIP_IDLE_S = 5.0
@@ -43,9 +43,9 @@
 DEADLINE_GRACE_S = 1.0
 # An attempt that has no answer for this long, and for this many run times, is doubled
 # elsewhere if its target turns out to be silent and the budget allows it.
-SILENCE_S = 1.0
-SILENCE_RUN_TIMES = 8.0
-REFUSED_IDS = 1024  # requests refused for good that are remembered
+HEDGE_DELAY_S = 1.0
+HEDGE_DELAY_RUN_TIMES = 8.0
+MAX_REFUSED_IDS = 1024  # requests refused for good that are remembered
 
 _CAPACITY_CODES = frozenset(
     {
@@ -76,14 +76,14 @@
     _source: fleet_source.FleetSource
     _targets: model.TargetDirectory
     _transport: model.TargetTransport
-    _claiming: claiming.Claiming
+    _claimer: claiming.RequestClaimer
     _services_by_name: dict[str, flights.ServiceState]
-    _pool: target_pool.TargetPool  # slots of the targets
-    _flights_by_request_id: dict[str, flights.Flight]
+    _target_pool: target_pool.TargetPool  # slots of the targets
+    _in_flight_by_request_id: dict[str, flights.InFlightRequest]
     # Outcomes of requests that failed on several targets, oldest first.
     _refused_by_request_id: collections.OrderedDict[str, model.Outcome]
     _tasks: set[asyncio.Task[Any]]  # background tasks, kept so that they run on
-    _held_bytes: int  # bodies of all requests that wait or are in flight
+    _buffered_bytes: int  # bodies of all requests that wait or are in flight
     _is_draining: bool
     _idle: asyncio.Event  # no request is queued or in flight
 
@@ -97,13 +97,15 @@
         self._source = source
         self._targets = targets
         self._transport = transport
-        self._claiming = claiming.Claiming(source, claims)
+        self._claimer = claiming.RequestClaimer(source, claims)
         self._services_by_name = {}
-        self._pool = target_pool.TargetPool(targets, transport, self._pump_all)
-        self._flights_by_request_id = {}
+        self._target_pool = target_pool.TargetPool(
+            targets, transport, self._dispatch_all
+        )
+        self._in_flight_by_request_id = {}
         self._refused_by_request_id = collections.OrderedDict()
         self._tasks = set()
-        self._held_bytes = 0
+        self._buffered_bytes = 0
         self._is_draining = False
         self._idle = asyncio.Event()
         self._idle.set()
@@ -115,38 +117,38 @@
     ) -> model.Outcome:
         """Return the outcome of a request; see `model.RequestHandler`."""
         now = asyncio.get_running_loop().time()
-        flight = self._flights_by_request_id.get(request.request_id)
-        if flight is None:
+        in_flight = self._in_flight_by_request_id.get(request.request_id)
+        if in_flight is None:
             admitted = self._admit(request, on_started, now)
             if isinstance(admitted, model.Outcome):
                 return admitted
-            flight = admitted
-        elif not _is_same(flight.request, request):
+            in_flight = admitted
+        elif not _is_same_request(in_flight.request, request):
             return model.unknown(
                 codes.ResultCode.ALREADY_CLAIMED,
                 "another request with this id is in flight",
             )
         else:
-            flight.started_callbacks.append(on_started)
-            if flight.has_started:
+            in_flight.started_callbacks.append(on_started)
+            if in_flight.has_started:
                 on_started()
-        assert flight.task is not None
-        flight.waiters += 1
+        assert in_flight.task is not None
+        in_flight.waiters += 1
         try:
             await asyncio.wait(
-                {flight.task},
+                {in_flight.task},
                 timeout=max(0.0, request.deadline - now) + DEADLINE_GRACE_S,
             )
         finally:
-            flight.waiters -= 1
-            if flight.waiters == 0:
-                self._drop_if_queued(flight)
-        if not flight.task.done():
+            in_flight.waiters -= 1
+            if in_flight.waiters == 0:
+                self._drop_if_queued(in_flight)
+        if not in_flight.task.done():
             return model.unknown(
                 codes.ResultCode.OUTCOME_UNKNOWN,
                 "the request was still in flight at its deadline",
             )
-        return flight.task.result()
+        return in_flight.task.result()
 
     # The interface of capacity planning, explanation and stop.
 
@@ -196,13 +198,13 @@
             await asyncio.wait_for(self._idle.wait(), timeout_s)
         except TimeoutError:
             pass
-        return sorted(self._flights_by_request_id)
+        return sorted(self._in_flight_by_request_id)
 
     # Admission.
 
     def _admit(
         self, request: model.Request, on_started: Callable[[], None], now: float
-    ) -> flights.Flight | model.Outcome:
+    ) -> flights.InFlightRequest | model.Outcome:
         """Return a flight with its task started, or why the request is refused."""
         refused = self._refused_by_request_id.get(request.request_id)
         if refused is not None:
@@ -221,7 +223,7 @@
                 codes.ResultCode.REQUEST_INVALID,
                 f"service {request.service} has no kind {request.kind}",
             )
-        if not kind.repeatable and self._claiming.is_claimed(request.request_id):
+        if not kind.repeatable and self._claimer.is_claimed(request.request_id):
             return model.unknown(
                 codes.ResultCode.ALREADY_CLAIMED,
                 "a request with this id was claimed before; it may have run",
@@ -230,38 +232,40 @@
             return model.not_run(
                 codes.ResultCode.NODE_STOPPING, "the owner node is stopping"
             )
-        service = self._service(request.service, now)
-        flight = self._new_flight(request, service, declared, kind, on_started, now)
+        service = self._service_state(request.service, now)
+        in_flight = self._make_in_flight(
+            request, service, declared, kind, on_started, now
+        )
         usable = self._usable_targets(service, now)
         refusal = admission.check_capacity(
-            flight,
+            in_flight,
             usable,
             document,
             declared,
             # All own targets are usable; lent ones are not while their lender is busy.
             has_targets=bool(usable or self._targets.lent_targets_of(service.name)),
-            held_bytes=self._held_bytes,
+            buffered_bytes=self._buffered_bytes,
             now=now,
         )
         if refusal is not None:
             if refusal.code in _CAPACITY_CODES:
-                service.meter.note_refusal(now)
+                service.meter.record_refusal(now)
             return refusal
         # Refused requests are no load, so they earn no retries.
-        service.budget.note_request(now)
-        self._flights_by_request_id[request.request_id] = flight
-        self._held_bytes += len(request.body)
+        service.budget.record_request(now)
+        self._in_flight_by_request_id[request.request_id] = in_flight
+        self._buffered_bytes += len(request.body)
         self._idle.clear()
-        flight.task = asyncio.get_running_loop().create_task(self._run(flight))
+        in_flight.task = asyncio.get_running_loop().create_task(self._run(in_flight))
         # Counted now, not when the task runs: requests that arrive in the same round
         # of the loop must see each other.
-        if flight.is_repeatable:
-            self._enqueue(flight)
+        if in_flight.is_repeatable:
+            self._enqueue(in_flight)
         else:
-            service.claiming += 1
-        return flight
+            service.claiming_count += 1
+        return in_flight
 
-    def _new_flight(
+    def _make_in_flight(
         self,
         request: model.Request,
         service: flights.ServiceState,
@@ -269,7 +273,7 @@
         kind: document_model.Kind,
         on_started: Callable[[], None],
         now: float,
-    ) -> flights.Flight:
+    ) -> flights.InFlightRequest:
         declared_ms = request.declared_run_ms or kind.declared_run_ms
         is_long = service.is_long_by_kind.get(
             request.kind, declared_ms > declared.short_run_ms
@@ -285,263 +289,271 @@
             cost_s=service.run_times.expected_s(request.kind, 0.0),
             is_long=is_long,
         )
-        service.queue.note_arrival(is_long, now)
-        return flights.Flight(
+        service.queue.record_arrival(is_long, now)
+        return flights.InFlightRequest(
             request, service, entry, kind.repeatable, declared_ms / 1000, [on_started]
         )
 
-    def _service(self, name: str, now: float) -> flights.ServiceState:
+    def _service_state(self, name: str, now: float) -> flights.ServiceState:
         """Return a service's memory; forgets slots that another owner may have used."""
         service = self._services_by_name.get(name)
         if service is None:
             service = self._services_by_name[name] = flights.ServiceState(name, now)
         is_idle = not service.uses and not len(service.queue)
         if is_idle and now - service.last_active_at > OWNERSHIP_IDLE_S:
-            self._pool.forget_slots(service.host_ids)
+            self._target_pool.invalidate_slots(service.host_ids)
         service.last_active_at = now
         return service
 
     # The life of one request.
 
-    async def _run(self, flight: flights.Flight) -> model.Outcome:
+    async def _run(self, in_flight: flights.InFlightRequest) -> model.Outcome:
         """Take a request to its outcome; never raises."""
         try:
-            outcome = await self._claim_and_send(flight)
+            outcome = await self._claim_and_send(in_flight)
         except Exception:
-            _log.exception("request {} failed", flight.request.request_id)
-            make = model.unknown if flight.has_started else model.not_run
+            _log.exception("request {} failed", in_flight.request.request_id)
+            make = model.unknown if in_flight.has_started else model.not_run
             outcome = make(codes.ResultCode.INTERNAL_ERROR, "internal error")
-        if flight.is_claimed and outcome.kind is model.OutcomeKind.NOT_RUN:
-            await self._claiming.release(flight.request)
+        if in_flight.is_claimed and outcome.kind is model.OutcomeKind.NOT_RUN:
+            await self._claimer.release(in_flight.request)
         loop = asyncio.get_running_loop()
         if outcome.code in _CAPACITY_CODES:
-            flight.service.meter.note_refusal(loop.time())
-        self._held_bytes -= len(flight.request.body)
-        del self._flights_by_request_id[flight.request.request_id]
-        if not self._flights_by_request_id:
+            in_flight.service.meter.record_refusal(loop.time())
+        self._buffered_bytes -= len(in_flight.request.body)
+        del self._in_flight_by_request_id[in_flight.request.request_id]
+        if not self._in_flight_by_request_id:
             self._idle.set()
         return dataclasses.replace(
-            outcome, attempts=flight.attempts, waited_s=flight.waited_s
+            outcome, attempts=in_flight.attempts, waited_s=in_flight.waited_s
         )
 
-    async def _claim_and_send(self, flight: flights.Flight) -> model.Outcome:
-        if not flight.is_repeatable:
+    async def _claim_and_send(
+        self, in_flight: flights.InFlightRequest
+    ) -> model.Outcome:
+        if not in_flight.is_repeatable:
             try:
-                refusal = await self._claim(flight)
+                refusal = await self._claim(in_flight)
             finally:
-                flight.service.claiming -= 1
+                in_flight.service.claiming_count -= 1
             if refusal is not None:
                 return refusal
         while True:
-            assigned = await self._wait_for_slot(flight)
-            if isinstance(assigned, model.Outcome):
-                if assigned.kind is model.OutcomeKind.ANSWERED:
-                    return assigned
-                return self._outcome_of_failures(flight, assigned)
-            self._start_attempt(flight, assigned)
-            answer = await self._wait_for_answer(flight)
+            assignment = await self._wait_for_slot(in_flight)
+            if isinstance(assignment, model.Outcome):
+                if assignment.kind is model.OutcomeKind.ANSWERED:
+                    return assignment
+                return self._outcome_of_failures(in_flight, assignment)
+            self._start_attempt(in_flight, assignment)
+            answer = await self._wait_for_answer(in_flight)
             if answer is not None:
                 return _answered(*answer)
-            if flight.is_doubling:
-                flight.is_doubling = False
+            if in_flight.is_hedging:
+                in_flight.is_hedging = False
                 continue
-            refusal = self._check_retry(flight)
+            refusal = self._check_retry(in_flight)
             if refusal is not None:
-                return self._outcome_of_failures(flight, refusal)
+                return self._outcome_of_failures(in_flight, refusal)
 
-    async def _claim(self, flight: flights.Flight) -> model.Outcome | None:
+    async def _claim(self, in_flight: flights.InFlightRequest) -> model.Outcome | None:
         """Claim a request; returns why it must not be sent, or None."""
         now = asyncio.get_running_loop().time()
-        least_s = flight.service.run_times.least_s(flight.request.kind, now)
-        refusal = await self._claiming.claim(
-            flight.request, flight.request.deadline - now - least_s
+        min_expected_s = in_flight.service.run_times.min_expected_s(
+            in_flight.request.kind, now
         )
-        flight.is_claimed = refusal is None
+        refusal = await self._claimer.claim(
+            in_flight.request, in_flight.request.deadline - now - min_expected_s
+        )
+        in_flight.is_claimed = refusal is None
         return refusal
 
     async def _wait_for_slot(
-        self, flight: flights.Flight
+        self, in_flight: flights.InFlightRequest
     ) -> flights.Assignment | model.Outcome:
         """Wait in the queue; returns a target with a slot, or why none was given."""
         loop = asyncio.get_running_loop()
-        entry = flight.entry
-        if flight.assigned is None:
-            if flight.waiters == 0:
+        entry = in_flight.entry
+        if in_flight.assignment is None:
+            if in_flight.waiters == 0:
                 return _cancelled()
-            self._enqueue(flight)
-        assert flight.assigned is not None
-        assigned = await flight.assigned
-        flight.assigned = None
-        flight.waited_s += loop.time() - flight.queued_at
-        if isinstance(assigned, flights.Assignment) and (
-            flight.waiters == 0 or loop.time() >= entry.deadline
+            self._enqueue(in_flight)
+        assert in_flight.assignment is not None
+        assignment = await in_flight.assignment
+        in_flight.assignment = None
+        in_flight.waited_s += loop.time() - in_flight.queued_at
+        if isinstance(assignment, flights.Assignment) and (
+            in_flight.waiters == 0 or loop.time() >= entry.deadline
         ):
             # The caller left or the loop was late between the choice and now.
-            self._give_back(flight, assigned)
-            if flight.waiters == 0:
+            self._release_unused(in_flight, assignment)
+            if in_flight.waiters == 0:
                 return _cancelled()
             return model.not_run(
                 codes.ResultCode.DEADLINE_PASSED, "the deadline has passed"
             )
-        return assigned
+        return assignment
 
-    def _enqueue(self, flight: flights.Flight) -> None:
+    def _enqueue(self, in_flight: flights.InFlightRequest) -> None:
         """Put a request into the queue; `_take_from_queue` takes it out."""
         loop = asyncio.get_running_loop()
-        service, entry = flight.service, flight.entry
+        service, entry = in_flight.service, in_flight.entry
         entry.is_long = service.is_long_by_kind.get(entry.kind, entry.is_long)
-        flight.assigned = loop.create_future()
-        flight.queued_at = loop.time()
-        service.flights_by_entry[entry] = flight
+        in_flight.assignment = loop.create_future()
+        in_flight.queued_at = loop.time()
+        service.requests_by_entry[entry] = in_flight
         service.queue.add(entry)
-        least_s = service.run_times.least_s(entry.kind, loop.time())
-        flight.expiry = loop.call_at(entry.deadline - least_s, self._expire, flight)
+        min_expected_s = service.run_times.min_expected_s(entry.kind, loop.time())
+        in_flight.expiry = loop.call_at(
+            entry.deadline - min_expected_s, self._expire, in_flight
+        )
         service.update_demand(loop.time())
-        self._pump(service)
+        self._dispatch_queued(service)
 
     def _start_attempt(
-        self, flight: flights.Flight, assigned: flights.Assignment
+        self, in_flight: flights.InFlightRequest, assignment: flights.Assignment
     ) -> None:
-        flight.attempts += 1
-        flight.tried_host_ids.add(assigned.target.host_id)
-        flight.note_started()
-        task = self._spawn(self._attempt(flight, assigned))
-        flight.running.add(task)
+        in_flight.attempts += 1
+        in_flight.tried_host_ids.add(assignment.target.host_id)
+        in_flight.mark_started()
+        task = self._spawn(self._attempt(in_flight, assignment))
+        in_flight.running.add(task)
 
     async def _attempt(
-        self, flight: flights.Flight, assigned: flights.Assignment
+        self, in_flight: flights.InFlightRequest, assignment: flights.Assignment
     ) -> tuple[str, model.Attempt]:
         """Make one attempt and account for it; goes on if nobody waits any more."""
         loop = asyncio.get_running_loop()
-        service, use = flight.service, assigned.use
+        service, use = in_flight.service, assignment.use
         document = self._source.state.documents.production
         declared = None if document is None else document.services.get(service.name)
         short_run_s = math.inf if declared is None else declared.short_run_ms / 1000
         timer = None
         if not use.is_long and short_run_s < math.inf:
-            timer = loop.call_later(short_run_s, self._outlive, flight, use)
+            timer = loop.call_later(
+                short_run_s, self._reclassify_as_long, in_flight, use
+            )
         began_at = loop.time()
         try:
             attempt = await self._transport.send(
-                assigned.target,
-                flight.request,
-                flight.request.deadline - began_at,
-                flight.is_repeatable,
+                assignment.target,
+                in_flight.request,
+                in_flight.request.deadline - began_at,
+                in_flight.is_repeatable,
             )
         except Exception:
-            _log.exception("attempt of {} failed", flight.request.request_id)
+            _log.exception("attempt of {} failed", in_flight.request.request_id)
             attempt = model.Attempt(
                 model.AttemptKind.UNKNOWN, codes.ResultCode.INTERNAL_ERROR
             )
         finally:
             if timer is not None:
                 timer.cancel()
-        self._settle(flight, assigned, attempt, loop.time() - began_at)
-        return assigned.target.host_id, attempt
+        self._record_attempt(in_flight, assignment, attempt, loop.time() - began_at)
+        return assignment.target.host_id, attempt
 
-    def _settle(
+    def _record_attempt(
         self,
-        flight: flights.Flight,
-        assigned: flights.Assignment,
+        in_flight: flights.InFlightRequest,
+        assignment: flights.Assignment,
         attempt: model.Attempt,
         run_s: float,
     ) -> None:
         """Account for a finished attempt: slot, run time, ejection, leaving."""
         now = asyncio.get_running_loop().time()
-        service, host_id = flight.service, assigned.target.host_id
-        request_id = flight.request.request_id
+        service, host_id = in_flight.service, assignment.target.host_id
+        request_id = in_flight.request.request_id
         is_answer = attempt.kind is model.AttemptKind.ANSWERED
         # An answer with another status came after the work had ended.
         is_over = attempt.kind is not model.AttemptKind.UNKNOWN or attempt.status != 0
-        assigned.target_slots.release(assigned.use, is_over, now)
-        service.uses.pop(assigned.use, None)
+        assignment.target_slots.release(assignment.use, is_over, now)
+        service.uses.pop(assignment.use, None)
         service.last_active_at = now
         if attempt.is_leaving:
-            self._pool.note_leaving(assigned.target, service.name)
+            self._target_pool.mark_leaving(assignment.target, service.name)
         if is_answer:
-            if flight.assigned is not None and not flight.assigned.done():
+            if in_flight.assignment is not None and not in_flight.assignment.done():
                 # The silent target answered while its request waited for another one.
-                self._take_from_queue(flight, _answered(host_id, attempt))
-            service.run_times.observe(flight.request.kind, run_s, now)
-            self._learn_class(service, flight.request.kind)
-            service.ejections.note_success(host_id, request_id, now)
+                self._dequeue(in_flight, _answered(host_id, attempt))
+            service.run_times.observe(in_flight.request.kind, run_s, now)
+            self._update_class(service, in_flight.request.kind)
+            service.ejections.record_success(host_id, request_id, now)
         elif attempt.is_leaving:
-            service.ejections.note_neutral(host_id)
+            service.ejections.cancel_probe(host_id)
         else:
             if attempt.kind is model.AttemptKind.NOT_STARTED and attempt.status:
                 # The target has fewer free slots than counted here: another node may
                 # have sent work to it.
-                assigned.target_slots.is_read = False
-            service.ejections.note_failure(
+                assignment.target_slots.is_status_known = False
+            service.ejections.record_failure(
                 host_id, request_id, now, len(service.host_ids)
             )
         service.update_demand(now)
-        self._pump_after_release(service)
+        self._dispatch_after_release(service)
 
     async def _wait_for_answer(
-        self, flight: flights.Flight
+        self, in_flight: flights.InFlightRequest
     ) -> tuple[str, model.Attempt] | None:
         """Wait for the attempts in flight; None if all of them failed."""
         loop = asyncio.get_running_loop()
-        gives_up_at = flight.request.deadline + DEADLINE_GRACE_S / 2
+        give_up_at = in_flight.request.deadline + DEADLINE_GRACE_S / 2
         began_at = loop.time()
-        suspects_at = began_at + self._silence_s(flight)
+        hedge_at = began_at + self._hedge_delay_s(in_flight)
         check: asyncio.Task[None] | None = None
-        while flight.running:
+        while in_flight.running:
             now = loop.time()
-            if now >= gives_up_at:
+            if now >= give_up_at:
                 silent = model.Attempt(
                     model.AttemptKind.UNKNOWN, codes.ResultCode.TARGET_SILENT
                 )
-                flight.failures.append(("", silent))
+                in_flight.failures.append(("", silent))
                 return None
-            if now >= suspects_at:
+            if now >= hedge_at:
                 # The expected run time may have been learned since the start.
-                suspects_at = began_at + self._silence_s(flight)
-                if now >= suspects_at:
-                    suspects_at = math.inf
-                    check = self._spawn(self._double_on_silence(flight))
-            waits_for: set[asyncio.Task[Any]] = set(flight.running)
+                hedge_at = began_at + self._hedge_delay_s(in_flight)
+                if now >= hedge_at:
+                    hedge_at = math.inf
+                    check = self._spawn(self._hedge_if_unresponsive(in_flight))
+            waits_for: set[asyncio.Task[Any]] = set(in_flight.running)
             if check is not None:
                 waits_for.add(check)
             await asyncio.wait(
                 waits_for,
-                timeout=min(gives_up_at, suspects_at) - now,
+                timeout=min(give_up_at, hedge_at) - now,
                 return_when=asyncio.FIRST_COMPLETED,
             )
             if check is not None and check.done():
                 check = None
-                if flight.is_doubling:
+                if in_flight.is_hedging:
                     return None
-            for task in [task for task in flight.running if task.done()]:
-                flight.running.discard(task)
+            for task in [task for task in in_flight.running if task.done()]:
+                in_flight.running.discard(task)
                 host_id, attempt = task.result()
                 if attempt.kind is model.AttemptKind.ANSWERED:
                     return host_id, attempt
-                flight.failures.append((host_id, attempt))
+                in_flight.failures.append((host_id, attempt))
         return None
 
-    def _silence_s(self, flight: flights.Flight) -> float:
+    def _hedge_delay_s(self, in_flight: flights.InFlightRequest) -> float:
         """Return after what time an attempt without an answer is suspicious."""
-        expected_s = flight.service.run_times.expected_s(
-            flight.request.kind, flight.declared_s
+        expected_s = in_flight.service.run_times.expected_s(
+            in_flight.request.kind, in_flight.declared_s
         )
-        return max(SILENCE_S, SILENCE_RUN_TIMES * expected_s)
+        return max(HEDGE_DELAY_S, HEDGE_DELAY_RUN_TIMES * expected_s)
 
-    async def _double_on_silence(self, flight: flights.Flight) -> None:
+    async def _hedge_if_unresponsive(self, in_flight: flights.InFlightRequest) -> None:
         """Send a repeatable request to a second target if the first is silent.
 
         A straggler shows in the busy slots of its target and is left alone. The first
         attempt keeps its slot and its chance to answer.
         """
         loop = asyncio.get_running_loop()
-        service, request_id = flight.service, flight.request.request_id
+        service, request_id = in_flight.service, in_flight.request.request_id
         targets_by_host_id = {
             target.host_id: target for target in self._targets_of(service.name)
         }
-        for host_id in flight.tried_host_ids & targets_by_host_id.keys():
-            old_uses = self._pool.slots_by_host_id[host_id].uses_before(
-                loop.time() - SILENCE_S / 2
+        for host_id in in_flight.tried_host_ids & targets_by_host_id.keys():
+            old_uses = self._target_pool.slots_by_host_id[host_id].uses_before(
+                loop.time() - HEDGE_DELAY_S / 2
             )
             status = await self._transport.status(
                 targets_by_host_id[host_id], target_pool.STATUS_TIMEOUT_S
@@ -549,46 +561,47 @@
             still_in_use = sum(not use.is_released for use in old_uses)
             if status is not None and status.busy_slots >= still_in_use:
                 return
-            service.ejections.note_failure(
+            service.ejections.record_failure(
                 host_id, request_id, loop.time(), len(service.host_ids)
             )
         if (
-            not flight.running
-            or flight.waiters == 0
-            or not flight.is_repeatable
-            or flight.attempts >= retries.MAX_ATTEMPTS
-            or loop.time() >= flight.request.deadline
-            or all(host_id in flight.tried_host_ids for host_id in service.host_ids)
-            or self._quota_in_use(service, flight.entry) is not None
+            not in_flight.running
+            or in_flight.waiters == 0
+            or not in_flight.is_repeatable
+            or in_flight.attempts >= retries.MAX_ATTEMPTS
+            or loop.time() >= in_flight.request.deadline
+            or all(host_id in in_flight.tried_host_ids for host_id in service.host_ids)
+            or self._exhausted_quota(service, in_flight.entry) is not None
         ):
             return
         # It waits for a slot like any other; the queue keeps its order of arrival.
-        flight.is_doubling = service.budget.take(loop.time())
+        in_flight.is_hedging = service.budget.try_acquire(loop.time())
 
-    def _check_retry(self, flight: flights.Flight) -> model.Outcome | None:
+    def _check_retry(self, in_flight: flights.InFlightRequest) -> model.Outcome | None:
         """Return why a failed request must not be sent again, or None."""
         now = asyncio.get_running_loop().time()
-        service = flight.service
+        service = in_flight.service
         has_run = any(
-            attempt.kind is model.AttemptKind.UNKNOWN for _, attempt in flight.failures
+            attempt.kind is model.AttemptKind.UNKNOWN
+            for _, attempt in in_flight.failures
         )
-        if has_run and not flight.is_repeatable:
+        if has_run and not in_flight.is_repeatable:
             return model.not_run(codes.ResultCode.TARGETS_REFUSED, "it may have run")
-        if flight.waiters == 0:
+        if in_flight.waiters == 0:
             return _cancelled()
-        if now >= flight.request.deadline:
+        if now >= in_flight.request.deadline:
             return model.not_run(
                 codes.ResultCode.DEADLINE_PASSED, "the deadline has passed"
             )
-        if flight.attempts >= retries.MAX_ATTEMPTS or not any(
-            target.host_id not in flight.tried_host_ids
+        if in_flight.attempts >= retries.MAX_ATTEMPTS or not any(
+            target.host_id not in in_flight.tried_host_ids
             for target in self._targets_of(service.name)
         ):
             return model.not_run(
                 codes.ResultCode.TARGETS_REFUSED,
-                f"{flight.attempts} targets did not take the request",
+                f"{in_flight.attempts} targets did not take the request",
             )
-        if not service.budget.take(now):
+        if not service.budget.try_acquire(now):
             return model.not_run(
                 codes.ResultCode.RETRY_BUDGET_EMPTY,
                 "a target did not take the request and the retry budget is empty",
@@ -596,26 +609,28 @@
         return None
 
     def _outcome_of_failures(
-        self, flight: flights.Flight, refusal: model.Outcome
+        self, in_flight: flights.InFlightRequest, refusal: model.Outcome
     ) -> model.Outcome:
         """Return the outcome of a request of which no attempt was answered."""
         may_have_run = [
             (host_id, attempt)
-            for host_id, attempt in flight.failures
+            for host_id, attempt in in_flight.failures
             if attempt.kind is model.AttemptKind.UNKNOWN
         ]
-        if not may_have_run and not flight.running:
-            host_id = flight.failures[-1][0] if flight.failures else None
+        if not may_have_run and not in_flight.running:
+            host_id = in_flight.failures[-1][0] if in_flight.failures else None
             return dataclasses.replace(refusal, host_id=host_id)
         host_ids = {host_id for host_id, _ in may_have_run if host_id}
         if len(host_ids) > 1:
-            flight.service.ejections.forgive(flight.request.request_id, host_ids)
+            in_flight.service.ejections.discard_failures(
+                in_flight.request.request_id, host_ids
+            )
             outcome = model.unknown(
                 codes.ResultCode.REQUEST_FAILED_REPEATEDLY,
                 f"the request failed on {len(host_ids)} targets",
             )
-            self._refused_by_request_id[flight.request.request_id] = outcome
-            while len(self._refused_by_request_id) > REFUSED_IDS:
+            self._refused_by_request_id[in_flight.request.request_id] = outcome
+            while len(self._refused_by_request_id) > MAX_REFUSED_IDS:
                 self._refused_by_request_id.popitem(last=False)
             return outcome
         if not may_have_run:
@@ -632,16 +647,16 @@
 
     # The queue and the choice of targets.
 
-    def _drop_if_queued(self, flight: flights.Flight) -> None:
+    def _drop_if_queued(self, in_flight: flights.InFlightRequest) -> None:
         """Drop a queued request whose callers have all left."""
-        if flight.assigned is not None and not flight.assigned.done():
-            self._take_from_queue(flight, _cancelled())
+        if in_flight.assignment is not None and not in_flight.assignment.done():
+            self._dequeue(in_flight, _cancelled())
 
-    def _expire(self, flight: flights.Flight) -> None:
+    def _expire(self, in_flight: flights.InFlightRequest) -> None:
         """Refuse a queued request that can no longer finish before its deadline."""
-        if flight.assigned is None or flight.assigned.done():
+        if in_flight.assignment is None or in_flight.assignment.done():
             return
-        service, entry = flight.service, flight.entry
+        service, entry = in_flight.service, in_flight.entry
         now = asyncio.get_running_loop().time()
         usable = self._usable_targets(service, now)
         code = codes.ResultCode.DEADLINE_TOO_SHORT
@@ -650,13 +665,13 @@
             code = codes.ResultCode.NO_TARGET
             reason = "no target could receive work before the deadline"
         else:
-            max_slots = self._quota_in_use(service, entry)
+            max_slots = self._exhausted_quota(service, entry)
             if max_slots is not None:
                 code = codes.ResultCode.TEAM_QUOTA_EXCEEDED
                 reason = f"team {entry.team} used its {max_slots} slots"
-        self._take_from_queue(flight, model.not_run(code, reason))
+        self._dequeue(in_flight, model.not_run(code, reason))
 
-    def _quota_in_use(
+    def _exhausted_quota(
         self, service: flights.ServiceState, entry: queueing.QueueEntry
     ) -> int | None:
         """Return the quota of a request's team if all of it is in use."""
@@ -669,17 +684,19 @@
             return None
         return team.max_slots
 
-    def _take_from_queue(
-        self, flight: flights.Flight, result: flights.Assignment | model.Outcome
+    def _dequeue(
+        self,
+        in_flight: flights.InFlightRequest,
+        result: flights.Assignment | model.Outcome,
     ) -> None:
-        assert flight.assigned is not None and flight.expiry is not None
-        flight.expiry.cancel()
-        flight.service.queue.remove(flight.entry)
-        del flight.service.flights_by_entry[flight.entry]
-        flight.assigned.set_result(result)
-        flight.service.update_demand(asyncio.get_running_loop().time())
-
-    def _pump(self, service: flights.ServiceState) -> None:
+        assert in_flight.assignment is not None and in_flight.expiry is not None
+        in_flight.expiry.cancel()
+        in_flight.service.queue.remove(in_flight.entry)
+        del in_flight.service.requests_by_entry[in_flight.entry]
+        in_flight.assignment.set_result(result)
+        in_flight.service.update_demand(asyncio.get_running_loop().time())
+
+    def _dispatch_queued(self, service: flights.ServiceState) -> None:
         """Give free slots to waiting requests."""
         loop = asyncio.get_running_loop()
         now = loop.time()
@@ -687,30 +704,30 @@
         declared = None if document is None else document.services.get(service.name)
         while document is not None and declared is not None and len(service.queue):
             usable = self._usable_targets(service, now)
-            if not selection.has_room(service, usable, now):
+            if not selection.has_free_target(service, usable, now):
                 break
-            shares = selection.compute_shares(service, usable, document, declared)
-            found = selection.next_start(service, usable, shares, now)
+            slot_counts = selection.count_slots(service, usable, document, declared)
+            found = selection.select_next(service, usable, slot_counts, now)
             if found is None:
                 break
-            flight, chosen = found
-            self._take_from_queue(flight, self._assign(flight, chosen, now))
-        if len(service.queue) and service.pump_timer is None:
-            service.pump_timer = loop.call_later(
-                PUMP_INTERVAL_S, self._pump_later, service
+            in_flight, chosen = found
+            self._dequeue(in_flight, self._assign(in_flight, chosen, now))
+        if len(service.queue) and service.dispatch_timer is None:
+            service.dispatch_timer = loop.call_later(
+                DISPATCH_INTERVAL_S, self._on_dispatch_timer, service
             )
 
-    def _pump_later(self, service: flights.ServiceState) -> None:
-        service.pump_timer = None
-        self._pump(service)
+    def _on_dispatch_timer(self, service: flights.ServiceState) -> None:
+        service.dispatch_timer = None
+        self._dispatch_queued(service)
 
     def _assign(
         self,
-        flight: flights.Flight,
+        in_flight: flights.InFlightRequest,
         chosen: target_pool.PoolMember,
         now: float,
     ) -> flights.Assignment:
-        service, entry = flight.service, flight.entry
+        service, entry = in_flight.service, in_flight.entry
         host_id = chosen.target.host_id
         if service.ejections.is_ejected(host_id):
             service.ejections.start_probe(host_id)
@@ -720,13 +737,15 @@
         service.uses[use] = entry.kind
         return flights.Assignment(chosen.target, chosen.slots, use)
 
-    def _give_back(self, flight: flights.Flight, assigned: flights.Assignment) -> None:
+    def _release_unused(
+        self, in_flight: flights.InFlightRequest, assignment: flights.Assignment
+    ) -> None:
         """Give back a slot that was never used."""
         now = asyncio.get_running_loop().time()
-        assigned.target_slots.release(assigned.use, True, now)
-        flight.service.uses.pop(assigned.use, None)
-        flight.service.ejections.note_neutral(assigned.target.host_id)
-        self._pump_after_release(flight.service)
+        assignment.target_slots.release(assignment.use, True, now)
+        in_flight.service.uses.pop(assignment.use, None)
+        in_flight.service.ejections.cancel_probe(assignment.target.host_id)
+        self._dispatch_after_release(in_flight.service)
 
     def _usable_targets(
         self, service: flights.ServiceState, now: float
@@ -737,16 +756,16 @@
         if declared is None:
             return []
         assert document is not None
-        members = self._pool.members(service.name, declared, now)
-        if not self._has_queue_in(document, document.lent_pool(service.name)):
-            members += self._pool.lent_members(service.name, document, now)
+        members = self._target_pool.members(service.name, declared, now)
+        if not self._has_queued_requests(document, document.lent_pool(service.name)):
+            members += self._target_pool.lent_members(service.name, document, now)
         host_ids = {member.target.host_id for member in members}
         if host_ids != service.host_ids:
             service.host_ids = host_ids
-            service.ejections.keep_only(host_ids)
+            service.ejections.retain_hosts(host_ids)
         return members
 
-    def _has_queue_in(
+    def _has_queued_requests(
         self, document: document_model.Document, pool: str | None
     ) -> bool:
         """Whether requests of a pool's own services wait, so that it lends nothing."""
@@ -756,16 +775,16 @@
             if name in document.services and document.services[name].pool == pool
         )
 
-    def _pump_after_release(self, service: flights.ServiceState) -> None:
+    def _dispatch_after_release(self, service: flights.ServiceState) -> None:
         """Give a released slot to its service, else to one that borrows or lends."""
-        self._pump(service)
-        self._pump_all(skipped=service)
+        self._dispatch_queued(service)
+        self._dispatch_all(skipped=service)
 
-    def _pump_all(self, skipped: flights.ServiceState | None = None) -> None:
+    def _dispatch_all(self, skipped: flights.ServiceState | None = None) -> None:
         """Give free slots to the waiting requests of all services."""
         for service in list(self._services_by_name.values()):
             if len(service.queue) and service is not skipped:
-                self._pump(service)
+                self._dispatch_queued(service)
 
     def _targets_of(self, service: str) -> list[model.Target]:
         """Return own and lent targets of a service."""
@@ -776,18 +795,20 @@
 
     # Learned classes.
 
-    def _outlive(self, flight: flights.Flight, use: slots.SlotUse) -> None:
+    def _reclassify_as_long(
+        self, in_flight: flights.InFlightRequest, use: slots.SlotUse
+    ) -> None:
         """Count a running request as long once it outlives the short class."""
         now = asyncio.get_running_loop().time()
         use.is_long = True
         # A lower bound, learned now: otherwise a wave of long work that was declared
         # short would take all slots before its first answer.
-        flight.service.run_times.observe(
-            flight.request.kind, 2 * (now - use.started_at), now
+        in_flight.service.run_times.observe(
+            in_flight.request.kind, 2 * (now - use.started_at), now
         )
-        self._learn_class(flight.service, flight.request.kind)
+        self._update_class(in_flight.service, in_flight.request.kind)
 
-    def _learn_class(self, service: flights.ServiceState, kind: str) -> None:
+    def _update_class(self, service: flights.ServiceState, kind: str) -> None:
         document = self._source.state.documents.production
         declared = None if document is None else document.services.get(service.name)
         if declared is None:
@@ -805,7 +826,7 @@
         return task
 
 
-def _is_same(first: model.Request, second: model.Request) -> bool:
+def _is_same_request(first: model.Request, second: model.Request) -> bool:
     return (
         first.service == second.service
         and first.kind == second.kind
--- a/clementinespar/requests/ejection.py
+++ b/clementinespar/requests/ejection.py
@@ -46,7 +46,7 @@
     def __init__(self) -> None:
         self._records_by_host_id = collections.defaultdict(_TargetRecord)
 
-    def note_success(self, host_id: str, request_id: str, now: float) -> None:
+    def record_success(self, host_id: str, request_id: str, now: float) -> None:
         """Count a good answer; a good probe ends the ejection."""
         record = self._records_by_host_id[host_id]
         if record.is_probing:
@@ -56,9 +56,9 @@
             record.results.clear()
             record.failures.clear()
         record.results.append(_AttemptResult(now, False, request_id))
-        self._forget(record, now)
+        self._drop_expired(record, now)
 
-    def note_failure(
+    def record_failure(
         self, host_id: str, request_id: str, now: float, pool_size: int
     ) -> None:
         """Count a failed attempt; may eject the target."""
@@ -68,34 +68,34 @@
             result = _AttemptResult(now, True, request_id)
             record.results.append(result)
             record.failures.append(result)
-        self._forget(record, now)
+        self._drop_expired(record, now)
         if record.ejected_until is not None:
             if record.is_probing:
                 record.is_probing = False
                 record.ejection_s = min(MAX_EJECTION_S, record.ejection_s * 2)
                 record.ejected_until = now + record.ejection_s
             return
-        if self._is_bad(record) and self._may_eject(pool_size):
+        if self._is_failing(record) and self._may_eject(pool_size):
             record.ejected_until = now + record.ejection_s
 
-    def note_neutral(self, host_id: str) -> None:
+    def cancel_probe(self, host_id: str) -> None:
         """End a probe that neither succeeded nor failed."""
         self._records_by_host_id[host_id].is_probing = False
 
-    def forgive(self, request_id: str, host_ids: Iterable[str]) -> None:
+    def discard_failures(self, request_id: str, host_ids: Iterable[str]) -> None:
         """Take back the failures of a request that failed on several targets."""
         for host_id in host_ids:
             record = self._records_by_host_id.get(host_id)
             if record is None:
                 continue
             for results in (record.results, record.failures):
-                kept = [r for r in results if r.request_id != request_id]
+                remaining = [r for r in results if r.request_id != request_id]
                 results.clear()
-                results.extend(kept)
+                results.extend(remaining)
             if (
                 record.ejected_until is not None
                 and not record.is_probing
-                and not self._is_bad(record)
+                and not self._is_failing(record)
             ):
                 record.ejected_until = None
 
@@ -133,12 +133,12 @@
             if record.ejected_until is not None
         )
 
-    def keep_only(self, host_ids: set[str]) -> None:
+    def retain_hosts(self, host_ids: set[str]) -> None:
         """Forget targets that left the pool; a rebooted one starts afresh."""
         for host_id in [i for i in self._records_by_host_id if i not in host_ids]:
             del self._records_by_host_id[host_id]
 
-    def _is_bad(self, record: _TargetRecord) -> bool:
+    def _is_failing(self, record: _TargetRecord) -> bool:
         failures = len(record.failures)
         if failures < MIN_FAILURES:
             return False
@@ -151,7 +151,7 @@
     def _may_eject(self, pool_size: int) -> bool:
         return len(self.ejected_host_ids()) + 1 <= pool_size * MAX_EJECTED_SHARE
 
-    def _forget(self, record: _TargetRecord, now: float) -> None:
+    def _drop_expired(self, record: _TargetRecord, now: float) -> None:
         for results in (record.results, record.failures):
             while results and results[0].at < now - WINDOW_S:
                 results.popleft()
--- a/clementinespar/requests/flights.py
+++ b/clementinespar/requests/flights.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Flight:
+class InFlightRequest:
     """One request from its admission to its outcome."""
 
     request: model.Request
@@ -43,17 +43,17 @@
     waited_s: float = 0.0
     attempts: int = 0
     # Its target is silent: it shall also run elsewhere, and the retry is paid for.
-    is_doubling: bool = False
+    is_hedging: bool = False
     tried_host_ids: set[str] = dataclasses.field(default_factory=set)
     failures: list[tuple[str, model.Attempt]] = dataclasses.field(default_factory=list)
     running: set["asyncio.Task[tuple[str, model.Attempt]]"] = dataclasses.field(
         default_factory=set
     )
     # Set while the request waits in the queue.
-    assigned: "asyncio.Future[Assignment | model.Outcome] | None" = None
+    assignment: "asyncio.Future[Assignment | model.Outcome] | None" = None
     task: "asyncio.Task[model.Outcome] | None" = None
 
-    def note_started(self) -> None:
+    def mark_started(self) -> None:
         """Tell the callers that a byte may leave from now on."""
         if not self.has_started:
             self.has_started = True
@@ -70,13 +70,13 @@
     budget: retries.RetryBudget
     ejections: ejection.EjectionTracker
     meter: demand_meter.DemandMeter
-    flights_by_entry: dict[queueing.QueueEntry, Flight]  # those that wait
+    requests_by_entry: dict[queueing.QueueEntry, InFlightRequest]  # those that wait
     uses: dict[slots.SlotUse, str]  # attempts in flight, with their kind
     is_long_by_kind: dict[str, bool]
     host_ids: set[str]  # targets seen at the last look
-    claiming: int  # requests that wait for their claim
+    claiming_count: int  # requests whose claim is not decided yet
     last_active_at: float  # event-loop time of the newest request or answer
-    pump_timer: asyncio.TimerHandle | None
+    dispatch_timer: asyncio.TimerHandle | None
 
     def __init__(self, name: str, now: float) -> None:
         self.name = name
@@ -85,13 +85,13 @@
         self.budget = retries.RetryBudget()
         self.ejections = ejection.EjectionTracker()
         self.meter = demand_meter.DemandMeter(now)
-        self.flights_by_entry = {}
+        self.requests_by_entry = {}
         self.uses = {}
         self.is_long_by_kind = {}
         self.host_ids = set()
-        self.claiming = 0
+        self.claiming_count = 0
         self.last_active_at = -math.inf
-        self.pump_timer = None
+        self.dispatch_timer = None
 
     def update_demand(self, now: float) -> None:
         """Measure the demand after a change."""
--- a/clementinespar/requests/queueing.py
+++ b/clementinespar/requests/queueing.py
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class SlotShares:
+class SlotCounts:
     """Slots of a service at one moment."""
 
     total: int  # slots of all targets that may receive work
@@ -108,7 +108,7 @@
         """Return the learned run time of all waiting requests together."""
         return max(0.0, self._work_s)
 
-    def note_arrival(self, is_long: bool, now: float) -> None:
+    def record_arrival(self, is_long: bool, now: float) -> None:
         """Note that a request of a class arrived, whether or not it waits."""
         if not is_long:
             self._last_short_at = now
@@ -140,17 +140,17 @@
             entry.cost_s = cost_s
             self.add(entry)
 
-    def candidates(self, shares: SlotShares, now: float) -> Iterator[QueueEntry]:
+    def candidates(self, slot_counts: SlotCounts, now: float) -> Iterator[QueueEntry]:
         """Yield the requests that may start now, best first.
 
         The caller takes the first one that can use a free target. The queue must not
         change while the iterator is in use.
         """
-        for is_long in self._class_order(shares, now):
+        for is_long in self._class_order(slot_counts, now):
             heads = [
                 (lane.keys[0], 0, lane)
                 for (lane_is_long, team), lane in self._lanes.items()
-                if lane_is_long == is_long and not _is_at_quota(team, shares)
+                if lane_is_long == is_long and not _is_at_quota(team, slot_counts)
             ]
             for _ in range(LOOK_AHEAD):
                 if not heads:
@@ -162,7 +162,7 @@
                     heads.append((lane.keys[index + 1], index + 1, lane))
 
     def expected_wait_s(
-        self, entry: QueueEntry, shares: SlotShares, now: float
+        self, entry: QueueEntry, slot_counts: SlotCounts, now: float
     ) -> tuple[float, bool]:
         """Return how long a new request would wait, and whether its quota is why.
 
@@ -175,25 +175,29 @@
             for (is_long, _), lane in self._lanes.items()
             if is_long == entry.is_long
         )
-        slots = self.long_limit(shares, now) if entry.is_long else shares.total
+        slots = (
+            self.long_limit(slot_counts, now) if entry.is_long else slot_counts.total
+        )
         wait_s = ahead_s / max(1, slots)
         lane = self._lanes.get((entry.is_long, entry.team))
         if entry.team is None or lane is None:
             return wait_s, False
-        team_wait_s = lane.cost_before_s(key) / shares.quota_by_team.get(entry.team, 1)
+        team_wait_s = lane.cost_before_s(key) / slot_counts.quota_by_team.get(
+            entry.team, 1
+        )
         return max(wait_s, team_wait_s), team_wait_s > wait_s
 
-    def long_limit(self, shares: SlotShares, now: float) -> int:
+    def long_limit(self, slot_counts: SlotCounts, now: float) -> int:
         """Return how many slots long work may hold now."""
         if now - self._last_short_at > RESERVE_IDLE_S and not self.count(False):
-            return shares.total
-        return max(1, int(shares.total * (1.0 - shares.short_reserve)))
+            return slot_counts.total
+        return max(1, int(slot_counts.total * (1.0 - slot_counts.short_reserve)))
 
-    def _class_order(self, shares: SlotShares, now: float) -> list[bool]:
+    def _class_order(self, slot_counts: SlotCounts, now: float) -> list[bool]:
         """Return the classes that may start a request now, best first."""
-        if shares.in_use_long >= self.long_limit(shares, now):
+        if slot_counts.in_use_long >= self.long_limit(slot_counts, now):
             return [False]
-        if shares.in_use_long < max(1, int(shares.total * LONG_SHARE)):
+        if slot_counts.in_use_long < max(1, int(slot_counts.total * LONG_SHARE)):
             return [True, False]
         if self._has_urgent(is_long=True) and not self._has_urgent(is_long=False):
             return [True, False]
@@ -210,8 +214,8 @@
         return self._lanes.setdefault((entry.is_long, entry.team), _Lane())
 
 
-def _is_at_quota(team: str | None, shares: SlotShares) -> bool:
+def _is_at_quota(team: str | None, slot_counts: SlotCounts) -> bool:
     if team is None:
         return False
-    quota = shares.quota_by_team.get(team)
-    return quota is not None and shares.in_use_by_team.get(team, 0) >= quota
+    quota = slot_counts.quota_by_team.get(team)
+    return quota is not None and slot_counts.in_use_by_team.get(team, 0) >= quota
--- a/clementinespar/requests/retries.py
+++ b/clementinespar/requests/retries.py
@@ -19,12 +19,12 @@
         self._requests = collections.deque()
         self._retries = collections.deque()
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count an accepted request."""
         self._requests.append(now)
-        self._forget(now)
+        self._drop_expired(now)
 
-    def take(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Take one retry from the budget; False if it is empty."""
         if self.remaining(now) < 1:
             return False
@@ -33,11 +33,11 @@
 
     def remaining(self, now: float) -> int:
         """Return how many retries the budget still allows."""
-        self._forget(now)
+        self._drop_expired(now)
         allowed = max(MIN_RETRIES, int(len(self._requests) * RETRY_SHARE))
         return allowed - len(self._retries)
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         for times in (self._requests, self._retries):
             while times and times[0] <= now - WINDOW_S:
                 times.popleft()
--- a/clementinespar/requests/router.py
+++ b/clementinespar/requests/router.py
@@ -13,12 +13,12 @@
 # Views of the membership differ for a few heartbeats after a change; a third candidate
 # is only right when two nodes stop within that time.
 MAX_CANDIDATES = 3
-RECENT_OUTCOMES = (
+MAX_RECENT_REQUESTS = (
     4096  # about 2 MB; an operator asks about requests of the last minutes
 )
 
 # The owner did not take the request, so another node may.
-_NOT_TAKEN_CODES = frozenset(
+_NOT_ACCEPTED_CODES = frozenset(
     {
         codes.ResultCode.OWNER_UNREACHABLE,
         codes.ResultCode.NODE_STOPPING,
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Trace:
+class _RecentRequest:
     """What this node knows about one request."""
 
     service: str
@@ -52,25 +52,25 @@
 
     _directory: model.OwnerDirectory
     _source: fleet_source.FleetSource
-    _traces_by_request_id: collections.OrderedDict[str, _Trace]  # oldest first
+    _recent_by_request_id: collections.OrderedDict[str, _RecentRequest]  # oldest first
 
     def __init__(
         self, directory: model.OwnerDirectory, source: fleet_source.FleetSource
     ) -> None:
         self._directory = directory
         self._source = source
-        self._traces_by_request_id = collections.OrderedDict()
+        self._recent_by_request_id = collections.OrderedDict()
 
     async def handle(
         self, request: model.Request, on_started: Callable[[], None] = lambda: None
     ) -> model.Outcome:
         """Return the one outcome of a caller's request."""
         loop = asyncio.get_running_loop()
-        trace = _Trace(request.service, request.kind, loop.time(), [])
-        self._remember(request.request_id, trace)
+        recent = _RecentRequest(request.service, request.kind, loop.time(), [])
+        self._add_recent(request.request_id, recent)
 
-        def note_started() -> None:
-            trace.has_started = True
+        def mark_started() -> None:
+            recent.has_started = True
             on_started()
 
         outcome = model.Outcome(
@@ -81,34 +81,34 @@
         for candidate in list(self._directory.candidates(request.service))[
             :MAX_CANDIDATES
         ]:
-            trace.owners.append(candidate.node)
+            recent.owners.append(candidate.node)
             try:
-                outcome = await candidate.handler.handle(request, note_started)
+                outcome = await candidate.handler.handle(request, mark_started)
             except asyncio.CancelledError:
-                trace.outcome = model.Outcome(
+                recent.outcome = model.Outcome(
                     model.OutcomeKind.UNKNOWN,
                     codes.ResultCode.OUTCOME_UNKNOWN,
                     "the caller left before the outcome",
                 )
                 raise
-            if not self._may_try_next(request, trace, outcome):
+            if not self._may_try_next(request, recent, outcome):
                 break
             if loop.time() >= request.deadline:
                 break
         # The ring keeps thousands of outcomes; their answers would fill the memory.
-        trace.outcome = dataclasses.replace(outcome, body=b"")
+        recent.outcome = dataclasses.replace(outcome, body=b"")
         return outcome
 
     def explain(self, request_id: str) -> dict[str, Any] | None:
         """Return what is known of a recent request, or None."""
-        trace = self._traces_by_request_id.get(request_id)
-        if trace is None:
+        recent = self._recent_by_request_id.get(request_id)
+        if recent is None:
             return None
-        outcome = trace.outcome
-        because = [f"handed to {' then '.join(trace.owners) or 'no node'}"]
+        outcome = recent.outcome
+        because = [f"handed to {' then '.join(recent.owners) or 'no node'}"]
         if outcome is None:
-            state = "started" if trace.has_started else "queued"
-            waits_for = "a target's answer" if trace.has_started else "a free slot"
+            state = "started" if recent.has_started else "queued"
+            waits_for = "a target's answer" if recent.has_started else "a free slot"
         else:
             state = outcome.kind.value
             waits_for = ""
@@ -120,7 +120,7 @@
             if outcome.reason:
                 because.append(outcome.reason)
         return {
-            "subject": f"request {request_id} ({trace.service}/{trace.kind})",
+            "subject": f"request {request_id} ({recent.service}/{recent.kind})",
             "state": state,
             "waits_for": waits_for,
             "because": because,
@@ -128,12 +128,12 @@
         }
 
     def _may_try_next(
-        self, request: model.Request, trace: _Trace, outcome: model.Outcome
+        self, request: model.Request, recent: _RecentRequest, outcome: model.Outcome
     ) -> bool:
-        if trace.has_started:
+        if recent.has_started:
             return False
         if outcome.kind is model.OutcomeKind.NOT_RUN:
-            return outcome.code in _NOT_TAKEN_CODES
+            return outcome.code in _NOT_ACCEPTED_CODES
         # The connection to the owner broke before it reported a start. A repeatable
         # request may run twice, so it is sent again; any other one is unknown.
         return (
@@ -149,8 +149,8 @@
         kind = document.services[request.service].kinds.get(request.kind)
         return kind is not None and kind.repeatable
 
-    def _remember(self, request_id: str, trace: _Trace) -> None:
-        self._traces_by_request_id[request_id] = trace
-        self._traces_by_request_id.move_to_end(request_id)
-        while len(self._traces_by_request_id) > RECENT_OUTCOMES:
-            self._traces_by_request_id.popitem(last=False)
+    def _add_recent(self, request_id: str, recent: _RecentRequest) -> None:
+        self._recent_by_request_id[request_id] = recent
+        self._recent_by_request_id.move_to_end(request_id)
+        while len(self._recent_by_request_id) > MAX_RECENT_REQUESTS:
+            self._recent_by_request_id.popitem(last=False)
--- a/clementinespar/requests/runtimes.py
+++ b/clementinespar/requests/runtimes.py
@@ -50,7 +50,7 @@
         learned = self._samples_by_kind.get(kind)
         return declared_s if learned is None else learned.median_s
 
-    def least_s(self, kind: str, now: float) -> float:
+    def min_expected_s(self, kind: str, now: float) -> float:
         """Return a run time that most requests of a kind exceed; 0 when not known."""
         learned = self._samples_by_kind.get(kind)
         if learned is None or now - learned.newest_at > MAX_AGE_S:
--- a/clementinespar/requests/selection.py
+++ b/clementinespar/requests/selection.py
@@ -12,7 +12,7 @@
 PROBE_OVERDUE_S = 10.0
 
 
-def has_room(
+def has_free_target(
     service: flights.ServiceState,
     usable: Sequence[target_pool.PoolMember],
     now: float,
@@ -28,25 +28,25 @@
     )
 
 
-def next_start(
+def select_next(
     service: flights.ServiceState,
     usable: Sequence[target_pool.PoolMember],
-    shares: queueing.SlotShares,
+    slot_counts: queueing.SlotCounts,
     now: float,
-) -> tuple[flights.Flight, target_pool.PoolMember] | None:
+) -> tuple[flights.InFlightRequest, target_pool.PoolMember] | None:
     """Return the next request to start and its target, or None."""
-    for entry in service.queue.candidates(shares, now):
-        flight = service.flights_by_entry[entry]
-        chosen = choose(service, usable, flight, now)
+    for entry in service.queue.candidates(slot_counts, now):
+        in_flight = service.requests_by_entry[entry]
+        chosen = choose_target(service, usable, in_flight, now)
         if chosen is not None:
-            return flight, chosen
+            return in_flight, chosen
     return None
 
 
-def choose(
+def choose_target(
     service: flights.ServiceState,
     usable: Sequence[target_pool.PoolMember],
-    flight: flights.Flight,
+    in_flight: flights.InFlightRequest,
     now: float,
 ) -> target_pool.PoolMember | None:
     """Return the least loaded target, or an ejected one that is due for a probe.
@@ -57,38 +57,38 @@
     best_key = (True, math.inf, math.inf)
     for member in usable:
         host_id = member.target.host_id
-        if not member.free or host_id in flight.tried_host_ids:
+        if not member.free or host_id in in_flight.tried_host_ids:
             continue
         if service.ejections.is_ejected(host_id):
             # Requests that must not repeat probe only when nothing else does.
-            probe_at = now if flight.is_repeatable else now - PROBE_OVERDUE_S
+            probe_at = now if in_flight.is_repeatable else now - PROBE_OVERDUE_S
             if service.ejections.is_probe_due(host_id, probe_at):
                 return member
             continue
-        seeming = member.slots.in_use + service.ejections.penalty(host_id, now)
-        load = seeming / member.slots.slots
+        apparent_in_use = member.slots.in_use + service.ejections.penalty(host_id, now)
+        load = apparent_in_use / member.slots.slots
         key = (member.is_lent, load, member.slots.last_used_at)
         if best is None or key < best_key:
             best, best_key = member, key
     return best
 
 
-def compute_shares(
+def count_slots(
     service: flights.ServiceState,
     usable: Sequence[target_pool.PoolMember],
     document: document_model.Document,
     declared: document_model.Service,
-) -> queueing.SlotShares:
+) -> queueing.SlotCounts:
     """Return how the slots of a service are shared out at this moment."""
     in_use_by_team: dict[str, int] = collections.Counter(
         use.team for use in service.uses if use.team is not None
     )
-    return queueing.SlotShares(
+    return queueing.SlotCounts(
         total=sum(use.is_borrowed for use in service.uses)
         + sum(
             member.free if member.is_lent else member.slots.slots
             for member in usable
-            if member.slots.is_read
+            if member.slots.is_status_known
             and not service.ejections.is_ejected(member.target.host_id)
         ),
         short_reserve=declared.short_reserve,
--- a/clementinespar/requests/server.py
+++ b/clementinespar/requests/server.py
@@ -31,11 +31,11 @@
 _ID_CHARACTERS = frozenset(string.ascii_letters + string.digits + "-_.:")
 # Bodies that may be held at once. Connections are limited in number only, and a node
 # has 128 MB for everything.
-MAX_HELD_BYTES = 32 * 1024 * 1024
+MAX_BUFFERED_BYTES = 32 * 1024 * 1024
 _MAX_RUN_MS = 86_400_000  # a day; services set a lower limit for deadlines
 # A refused body is read and dropped up to this size, so that the caller can read the
 # refusal; closing at once would reset the connection before that.
-_DROPPED_BODY_BYTES = 64 * 1024 * 1024
+_MAX_DISCARDED_BODY_BYTES = 64 * 1024 * 1024
 
 _STATUS_BY_NOT_RUN_CODE = {
     codes.ResultCode.SERVICE_UNKNOWN: 404,
@@ -71,7 +71,7 @@
     is_draining: bool
     _request_ids: dict[object, str]  # request id of each handler in flight
     _bytes_by_handler: dict[object, int]  # size of the body as far as it was read
-    _held_bytes: int  # sum of them
+    _buffered_bytes: int  # sum of them
     _idle: asyncio.Event  # no answer is in flight
 
     def __init__(
@@ -87,7 +87,7 @@
         self.is_draining = False
         self._request_ids = {}
         self._bytes_by_handler = {}
-        self._held_bytes = 0
+        self._buffered_bytes = 0
         self._idle = asyncio.Event()
         self._idle.set()
 
@@ -101,23 +101,23 @@
             await asyncio.wait_for(self._idle.wait(), timeout_s)
         return sorted(self._request_ids.values())
 
-    def enter(self, handler: object, request_id: str) -> None:
+    def begin_request(self, handler: object, request_id: str) -> None:
         """Note that a handler has an answer to give."""
         self._request_ids[handler] = request_id
         self._idle.clear()
 
-    def hold(self, handler: object, size: int) -> bool:
+    def reserve_body_bytes(self, handler: object, size: int) -> bool:
         """Count bytes of a body; False if the node holds too many."""
-        if self._held_bytes + size > MAX_HELD_BYTES:
+        if self._buffered_bytes + size > MAX_BUFFERED_BYTES:
             return False
         self._bytes_by_handler[handler] = self._bytes_by_handler.get(handler, 0) + size
-        self._held_bytes += size
+        self._buffered_bytes += size
         return True
 
-    def leave(self, handler: object) -> None:
+    def end_request(self, handler: object) -> None:
         """Note that a handler's answer was written or its caller left."""
         self._request_ids.pop(handler, None)
-        self._held_bytes -= self._bytes_by_handler.pop(handler, 0)
+        self._buffered_bytes -= self._bytes_by_handler.pop(handler, 0)
         if not self._request_ids:
             self._idle.set()
 
@@ -144,7 +144,7 @@
         application,
         max_connections=settings.max_connections,
         max_header_size=settings.max_header_bytes,
-        max_body_size=settings.max_body_bytes + _DROPPED_BODY_BYTES,
+        max_body_size=settings.max_body_bytes + _MAX_DISCARDED_BODY_BYTES,
         chunk_size=64 * 1024,
         idle_connection_timeout=settings.idle_timeout_s,
         body_timeout=settings.idle_timeout_s,
@@ -247,7 +247,7 @@
             codes.ResultCode.SERVICE_UNKNOWN,
             "requests go to /v1/SERVICE/KIND",
         )
-        self.write_outcome(_echo_id(self.request.headers), outcome)
+        self.write_outcome(_request_id_of(self.request.headers), outcome)
 
 
 @tornado.web.stream_request_body
@@ -266,7 +266,7 @@
         self.size = 0
         self.task = None
         self.accepted_at = asyncio.get_running_loop().time()
-        self.request_id = _echo_id(self.request.headers)
+        self.request_id = _request_id_of(self.request.headers)
         if self.request.method != "POST":
             return  # tornado answers with 405
         try:
@@ -274,7 +274,7 @@
         except _RefusedError as error:
             self.write_outcome(self.request_id, error.outcome)
         else:
-            self.server.enter(self, self.request_id)
+            self.server.begin_request(self, self.request_id)
 
     def _check_head(self) -> None:
         declared_size = self.request.headers.get("Content-Length", "0")
@@ -306,14 +306,14 @@
         self.chunks.append(chunk)
         try:
             self._check_size(self.size)
-            if not self.server.hold(self, len(chunk)):
+            if not self.server.reserve_body_bytes(self, len(chunk)):
                 raise _RefusedError(
                     codes.ResultCode.QUEUE_FULL, "this node holds too many requests"
                 )
         except _RefusedError as error:
             self.chunks.clear()
             self.write_outcome(self.request_id, error.outcome)
-            self.server.leave(self)
+            self.server.end_request(self)
 
     async def post(self, service: str, kind: str) -> None:
         """Route one request."""
@@ -344,7 +344,7 @@
             if self.task is None or not self.task.cancelled():
                 raise
         finally:
-            self.server.leave(self)
+            self.server.end_request(self)
 
     def on_connection_close(self) -> None:
         """Cancel the request of a caller that left."""
@@ -352,7 +352,7 @@
         if self.task is not None:
             self.task.cancel()
         else:
-            self.server.leave(self)
+            self.server.end_request(self)
 
     async def _route(self, service: str, kind: str) -> model.Outcome:
         try:
@@ -440,7 +440,7 @@
     return 0 < len(text) <= MAX_ID_LENGTH and _ID_CHARACTERS.issuperset(text)
 
 
-def _echo_id(headers: tornado.httputil.HTTPHeaders) -> str:
+def _request_id_of(headers: tornado.httputil.HTTPHeaders) -> str:
     """Return the caller's request id; a new one if it is missing or not valid."""
     request_id = headers.get("X-Request-Id", "")
     return request_id if _is_id(request_id) else identifiers.new_id()
--- a/clementinespar/requests/service_explanation.py
+++ b/clementinespar/requests/service_explanation.py
@@ -9,7 +9,7 @@
 
 def explain(
     service: str,
-    known: flights.ServiceState | None,
+    service_state: flights.ServiceState | None,
     usable: Sequence[target_pool.PoolMember],
     state: str,
     now: float,
@@ -20,43 +20,43 @@
     ----------
     service : str
         Name of the service.
-    known : flights.ServiceState or None
-        What this node knows of it; None if no request for it came here.
+    service_state : flights.ServiceState or None
+        This node's state of the service; None if it received no request for it.
     usable : sequence of target_pool.PoolMember
-        Targets that may receive its work.
+        Targets that may receive work of the service.
     state : str
-        Whether the node serves or drains.
+        ``serving`` or ``draining``.
     now : float
         Event-loop time.
     """
-    if known is None:
+    if service_state is None:
         return {
             "subject": f"service {service}",
             "state": "idle",
             "waits_for": "",
-            "because": ["no request for it came to this node"],
+            "because": ["this node received no request for the service"],
             "code": int(codes.ResultCode.OK),
         }
     free = sum(member.free for member in usable)
     waits_for = ""
-    if len(known.queue):
+    if len(service_state.queue):
         waits_for = "a free slot" if usable else "a target that may receive work"
     because = [
-        f"{known.queue.count(False)} short and {known.queue.count(True)} long "
-        "requests wait",
-        f"{len(known.uses)} attempts in flight, {free} slots free on "
+        f"{service_state.queue.count(False)} short and "
+        f"{service_state.queue.count(True)} long requests wait",
+        f"{len(service_state.uses)} attempts in flight, {free} slots free on "
         f"{len(usable)} targets",
-        f"{known.budget.remaining(now)} retries left in the budget",
+        f"{service_state.budget.remaining(now)} retries left in the budget",
     ]
     because += [
         f"host {host_id} is ejected for failing requests"
-        for host_id in sorted(known.ejections.ejected_host_ids())
+        for host_id in sorted(service_state.ejections.ejected_host_ids())
     ]
     because += [
-        f"host {member.target.host_id}: {member.slots.doubtful} slots may still "
-        "run work that this node does not follow"
+        f"host {member.target.host_id}: {member.slots.in_doubt} slots may still "
+        "run work that this node does not track"
         for member in usable
-        if member.slots.doubtful
+        if member.slots.in_doubt
     ]
     return {
         "subject": f"service {service}",
@@ -64,9 +64,9 @@
         "waits_for": waits_for,
         "because": because,
         "code": int(codes.ResultCode.OK if usable else codes.ResultCode.NO_TARGET),
-        "queued_short": known.queue.count(False),
-        "queued_long": known.queue.count(True),
-        "in_flight": len(known.uses),
+        "queued_short": service_state.queue.count(False),
+        "queued_long": service_state.queue.count(True),
+        "in_flight": len(service_state.uses),
         "free_slots": free,
-        "run_s_by_kind": known.run_times.medians_by_kind(),
+        "run_s_by_kind": service_state.run_times.medians_by_kind(),
     }
--- a/clementinespar/requests/slots.py
+++ b/clementinespar/requests/slots.py
@@ -13,8 +13,8 @@
 # Under constant short work no attempt spans a status read by SETTLE_S on both sides.
 # When doubt has lasted for HOLD_AFTER_S, the target gets no new work for HOLD_S before
 # a read, so that most attempts end and what it still runs can be told apart.
-HOLD_AFTER_S = 5.0
-HOLD_S = 0.2
+PAUSE_AFTER_S = 5.0
+PAUSE_S = 0.2
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -37,25 +37,27 @@
     slots: int  # most slots in use at once
     uses: dict[int, SlotUse] = dataclasses.field(default_factory=dict)  # by identity
     reported_slots: int = 1024  # slots that the target itself stated
-    doubtful: int = 0  # slots that the target may still use for something else
-    doubtful_since: float = 0.0  # event-loop time of the newest doubt
-    is_read: bool = False  # the target's own status was read since ownership began
+    in_doubt: int = 0  # slots that the target may still use for something else
+    in_doubt_since: float = 0.0  # event-loop time of the newest doubt
+    is_status_known: bool = (
+        False  # the target's own status was read since ownership began
+    )
     is_reading: bool = False  # a status read is in flight
     next_read_at: float = 0.0  # event-loop time before which no status is read
     last_used_at: float = 0.0  # event-loop time of the newest attempt
     read_began_at: float = 0.0  # event-loop time of the newest status read
-    is_held: bool = False  # gets no new work until the status read ends
-    held_at: float = 0.0  # event-loop time of the newest hold
+    is_paused: bool = False  # gets no new work until the status read ends
+    paused_at: float = 0.0  # event-loop time of the newest hold
 
     @property
     def in_use(self) -> int:
         """Slots in use or in doubt."""
-        return len(self.uses) + self.doubtful
+        return len(self.uses) + self.in_doubt
 
     @property
     def free(self) -> int:
         """Slots that new work may use."""
-        if self.is_held or not self.is_read:
+        if self.is_paused or not self.is_status_known:
             return 0
         return max(0, self.slots - self.in_use)
 
@@ -85,26 +87,26 @@
         use.is_released = True
         del self.uses[id(use)]
         if not is_certain:
-            self.add_doubt(1, now)
+            self.add_in_doubt(1, now)
 
-    def add_doubt(self, count: int, now: float) -> None:
+    def add_in_doubt(self, count: int, now: float) -> None:
         """Count slots as in use by something that this node does not follow."""
-        self.doubtful = min(self.slots, self.doubtful + count)
-        self.doubtful_since = now
+        self.in_doubt = min(self.slots, self.in_doubt + count)
+        self.in_doubt_since = now
 
-    def needs_hold(self, now: float) -> bool:
+    def needs_pause(self, now: float) -> bool:
         """Whether ordinary reads have not ended the doubt for some time."""
         return (
-            self.is_read
-            and self.doubtful > 0
-            and now - max(self.doubtful_since, self.held_at) > HOLD_AFTER_S
+            self.is_status_known
+            and self.in_doubt > 0
+            and now - max(self.in_doubt_since, self.paused_at) > PAUSE_AFTER_S
         )
 
     def uses_before(self, at: float) -> list[SlotUse]:
         """Return the attempts in flight that were sent before a time."""
         return [use for use in self.uses.values() if use.started_at <= at]
 
-    def finish_read(
+    def apply_status(
         self, busy_slots: int, certain_uses: int, now: float, is_first: bool
     ) -> None:
         """Bring the doubt in line with the target's own count.
@@ -120,13 +122,13 @@
         is_first : bool
             The first read since ownership began: work of others may be running.
         """
-        upper = max(0, busy_slots - certain_uses)
+        max_in_doubt = max(0, busy_slots - certain_uses)
         # The target may have given its count before an attempt reached it that has been
         # in doubt since; the next read tells.
-        has_new_doubt = self.doubtful_since >= self.read_began_at
+        is_newly_in_doubt = self.in_doubt_since >= self.read_began_at
         if is_first:
-            known = self.doubtful if has_new_doubt else 0
-            self.doubtful = min(self.slots, max(upper, known))
-            self.doubtful_since = now
-        elif not has_new_doubt:
-            self.doubtful = min(self.doubtful, upper)
+            min_in_doubt = self.in_doubt if is_newly_in_doubt else 0
+            self.in_doubt = min(self.slots, max(max_in_doubt, min_in_doubt))
+            self.in_doubt_since = now
+        elif not is_newly_in_doubt:
+            self.in_doubt = min(self.in_doubt, max_in_doubt)
--- a/clementinespar/requests/target_pool.py
+++ b/clementinespar/requests/target_pool.py
@@ -54,8 +54,8 @@
     slots_by_host_id: dict[str, slots.TargetSlots]
     _directory: model.TargetDirectory
     _transport: model.TargetTransport
-    _on_slots: Callable[[], None]
-    _host_ids_by_use: dict[str, set[str]]  # targets of a service at the last look
+    _on_free_slots: Callable[[], None]
+    _host_ids_by_listing: dict[str, set[str]]  # targets of a service at the last look
     _leaving_host_ids: set[str]  # targets whose statement to leave is being watched
     _tasks: set[asyncio.Task[Any]]  # background tasks, kept so that they run on
 
@@ -63,13 +63,13 @@
         self,
         directory: model.TargetDirectory,
         transport: model.TargetTransport,
-        on_slots: Callable[[], None],
+        on_free_slots: Callable[[], None],
     ) -> None:
         self.slots_by_host_id = {}
         self._directory = directory
         self._transport = transport
-        self._on_slots = on_slots
-        self._host_ids_by_use = {}
+        self._on_free_slots = on_free_slots
+        self._host_ids_by_listing = {}
         self._leaving_host_ids = set()
         self._tasks = set()
 
@@ -83,7 +83,7 @@
         targets = self._directory.targets_of(service)
         return [
             PoolMember(target, target_slots)
-            for target, target_slots in self._known(
+            for target, target_slots in self._slots_of(
                 service, service, targets, declared, now
             )
         ]
@@ -104,12 +104,12 @@
         lend_share = document.pools[pool].lend_share
         return [
             PoolMember(target, target_slots, int(target_slots.slots * lend_share))
-            for target, target_slots in self._known(
+            for target, target_slots in self._slots_of(
                 service, f"{service} borrows", targets, declared, now
             )
         ]
 
-    def _known(
+    def _slots_of(
         self,
         service: str,
         use: str,
@@ -120,8 +120,8 @@
         """Return the slots of targets; reads their status where needed."""
         host_ids = {target.host_id for target in targets}
         # Slots are read again when a target returns: it may have rebooted.
-        self.forget_slots(self._host_ids_by_use.get(use, set()) - host_ids)
-        self._host_ids_by_use[use] = host_ids
+        self.invalidate_slots(self._host_ids_by_listing.get(use, set()) - host_ids)
+        self._host_ids_by_listing[use] = host_ids
         known = []
         for target in targets:
             target_slots = self.slots_by_host_id.get(target.host_id)
@@ -136,7 +136,7 @@
                 target_slots.reported_slots,
             )
             if (
-                (target_slots.doubtful or not target_slots.is_read)
+                (target_slots.in_doubt or not target_slots.is_status_known)
                 and not target_slots.is_reading
                 and now >= target_slots.next_read_at
             ):
@@ -145,12 +145,12 @@
             known.append((target, target_slots))
         return known
 
-    def forget_slots(self, host_ids: Iterable[str]) -> None:
+    def invalidate_slots(self, host_ids: Iterable[str]) -> None:
         """Use targets again only after their busy slots were read."""
         for host_id in host_ids:
-            self.slots_by_host_id[host_id].is_read = False
+            self.slots_by_host_id[host_id].is_status_known = False
 
-    def note_leaving(self, target: model.Target, service: str) -> None:
+    def mark_leaving(self, target: model.Target, service: str) -> None:
         """Send nothing more to a target that leaves, until it says otherwise."""
         self._directory.mark_leaving(target)
         if target.host_id not in self._leaving_host_ids:
@@ -162,32 +162,32 @@
     ) -> None:
         """Read a target's busy slots and bring the doubt in line with them."""
         loop = asyncio.get_running_loop()
-        is_first = not target_slots.is_read
-        target_slots.is_held = target_slots.needs_hold(loop.time())
+        is_first = not target_slots.is_status_known
+        target_slots.is_paused = target_slots.needs_pause(loop.time())
         try:
-            if target_slots.is_held:
-                await asyncio.sleep(slots.HOLD_S)
+            if target_slots.is_paused:
+                await asyncio.sleep(slots.PAUSE_S)
             target_slots.read_began_at = loop.time()
             before = target_slots.uses_before(loop.time() - slots.SETTLE_S)
             status = await self._transport.status(target, STATUS_TIMEOUT_S)
             if status is not None and before:
                 await asyncio.sleep(slots.SETTLE_S)
         finally:
-            if target_slots.is_held:
-                target_slots.is_held = False
-                target_slots.held_at = loop.time()
+            if target_slots.is_paused:
+                target_slots.is_paused = False
+                target_slots.paused_at = loop.time()
             target_slots.is_reading = False
             target_slots.next_read_at = loop.time() + STATUS_INTERVAL_S
         if status is None:
-            self._on_slots()
+            self._on_free_slots()
             return
         if status.is_leaving:
-            self.note_leaving(target, service)
+            self.mark_leaving(target, service)
         certain = sum(not use.is_released for use in before)
         target_slots.reported_slots = max(1, status.slots)
-        target_slots.finish_read(status.busy_slots, certain, loop.time(), is_first)
-        target_slots.is_read = True
-        self._on_slots()
+        target_slots.apply_status(status.busy_slots, certain, loop.time(), is_first)
+        target_slots.is_status_known = True
+        self._on_free_slots()
 
     async def _watch_leaving(self, target: model.Target, service: str) -> None:
         """Ask a leaving target until it has rebooted.
--- a/clementinespar/requests/tests/test_dispatcher_faults.py
+++ b/clementinespar/requests/tests/test_dispatcher_faults.py
@@ -22,14 +22,14 @@
 class CheckingTransport(fake_target.FakeTargetTransport):
     """Fails when work is sent that must not be sent."""
 
-    told_leaving: set[str]  # hosts that said that they leave
+    leaving_host_ids: set[str]  # hosts that said that they leave
     in_flight_by_team: collections.Counter[str | None]
     sent: collections.Counter[str]  # attempts by request id
     violations: list[str]
 
     def __init__(self, targets_by_host_id: dict[str, fake_target.FakeTarget]) -> None:
         super().__init__(targets_by_host_id)
-        self.told_leaving = set()
+        self.leaving_host_ids = set()
         self.in_flight_by_team = collections.Counter()
         self.sent = collections.Counter()
         self.violations = []
@@ -42,7 +42,7 @@
         repeatable: bool,
     ) -> model.Attempt:
         """Check, then send."""
-        if target.host_id in self.told_leaving:
+        if target.host_id in self.leaving_host_ids:
             self.violations.append(f"{target.host_id} is leaving and got new work")
         if repeatable != (request.kind != "order"):
             self.violations.append(f"{request.kind} was sent as {repeatable=}")
@@ -53,7 +53,7 @@
         try:
             attempt = await super().send(target, request, timeout_s, repeatable)
             if attempt.is_leaving and self._is_leaving(target.host_id):
-                self.told_leaving.add(target.host_id)
+                self.leaving_host_ids.add(target.host_id)
             return attempt
         finally:
             self.in_flight_by_team[request.team] -= 1
@@ -90,17 +90,17 @@
         )
 
     def _submit(self, request: model.Request) -> None:
-        def note_started() -> None:
+        def mark_started() -> None:
             self.started_ids.add(request.request_id)
 
-        def note_outcome(done: asyncio.Task[model.Outcome]) -> None:
+        def record_outcome(done: asyncio.Task[model.Outcome]) -> None:
             if done.cancelled():
                 return
             if done.result().kind is model.OutcomeKind.NOT_RUN:
                 self.runs_when_refused.append(self._runs(request.request_id))
 
-        task = self.loop.create_task(self.dispatcher.handle(request, note_started))
-        task.add_done_callback(note_outcome)
+        task = self.loop.create_task(self.dispatcher.handle(request, mark_started))
+        task.add_done_callback(record_outcome)
         self.tasks.append((request, task))
         self.last_tasks_by_id[request.request_id] = task
 
@@ -174,14 +174,14 @@
     def set_fault(self, number: int, fault: str, value: bool) -> None:
         self.fakes[f"h{number}"].state.faults.update({fault: value})
         if fault == "leaving" and not value:
-            self.transport.told_leaving.discard(f"h{number}")
+            self.transport.leaving_host_ids.discard(f"h{number}")
 
     @hypothesis.stateful.rule(number=strategies.integers(0, HOSTS - 1))
     def kill_or_restart(self, number: int) -> None:
         fake = self.fakes[f"h{number}"]
         if fake.is_killed:
             fake.restart()
-            self.transport.told_leaving.discard(f"h{number}")
+            self.transport.leaving_host_ids.discard(f"h{number}")
         else:
             fake.kill()
 
--- a/clementinespar/requests/tests/test_dispatcher_policy.py
+++ b/clementinespar/requests/tests/test_dispatcher_policy.py
@@ -121,10 +121,10 @@
         setup = Setup(host_count=2, slots=2)
         await setup.submit_many(4, run_ms=100)
         short, long_tasks = [], []
-        for turn in range(60):
+        for round_number in range(60):
             short += [setup.submit(run_ms=100, deadline_s=5.0) for _ in range(6)]
             await asyncio.sleep(0.1)
-            if turn == 10:  # short work waits by now
+            if round_number == 10:  # short work waits by now
                 long_tasks.append(setup.submit("report", run_ms=1000, deadline_s=4.0))
         assert (await long_tasks[0]).kind is model.OutcomeKind.ANSWERED
         await asyncio.gather(*short)
@@ -132,7 +132,7 @@
     run(main)
 
 
-def test_reserve_is_lent_when_no_short_work_comes() -> None:
+def test_reserve_is_used_by_long_work_when_no_short_work_comes() -> None:
     """Guards against idle slots while long work waits."""
 
     async def main() -> None:
@@ -188,7 +188,7 @@
 
 def test_bytes_in_the_queue_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a queue of few but large requests that fills the memory."""
-    monkeypatch.setattr(admission, "MAX_HELD_BYTES", 100)
+    monkeypatch.setattr(admission, "MAX_BUFFERED_BYTES", 100)
 
     async def main() -> None:
         setup = Setup()
@@ -259,7 +259,7 @@
         setup = Setup(host_count=1, slots=1)
         blocker = setup.submit(run_ms=150)
         # The next look at the targets is then the one when the blocker ends.
-        await asyncio.sleep(dispatcher.PUMP_INTERVAL_S + 0.01)
+        await asyncio.sleep(dispatcher.DISPATCH_INTERVAL_S + 0.01)
         waiting = setup.submit(request_id="1-left")
         await asyncio.sleep(0.01)
         listed = setup.directory.targets_of("scale")
@@ -280,7 +280,7 @@
     """Guards against a fast failing worker being the least loaded one."""
     tracker = ejection.EjectionTracker()
     for number in range(2):
-        tracker.note_failure("h0", f"r{number}", 1.0, 4)
+        tracker.record_failure("h0", f"r{number}", 1.0, 4)
     assert not tracker.is_ejected("h0")
     assert tracker.penalty("h0", 1.1) == 2
     assert tracker.penalty("h0", 1.1 + ejection.PENALTY_S) == 0
@@ -292,7 +292,7 @@
     tracker = ejection.EjectionTracker()
     for host in range(pool_size):
         for number in range(5):
-            tracker.note_failure(f"h{host}", f"r{number}", 1.0, pool_size)
+            tracker.record_failure(f"h{host}", f"r{number}", 1.0, pool_size)
     assert len(tracker.ejected_host_ids()) == most
 
 
@@ -354,7 +354,7 @@
     run(main)
 
 
-def test_silent_target_is_doubled_and_straggler_is_not() -> None:
+def test_unresponsive_target_is_hedged_and_straggler_is_not() -> None:
     """Guards against lost answers of silent targets and doubled stragglers."""
 
     async def main() -> None:
@@ -368,7 +368,7 @@
         caught = setup.submit(request_id="1-caught")
         await asyncio.sleep(0.1)
         for name, fake in setup.fakes.items():  # the other target works again
-            in_use = setup.dispatcher._pool.slots_by_host_id[name].uses
+            in_use = setup.dispatcher._target_pool.slots_by_host_id[name].uses
             fake.state.faults.silent = bool(in_use)
         outcome = await caught
         assert outcome.kind is model.OutcomeKind.ANSWERED
@@ -454,13 +454,13 @@
     """Guards against retries saved up over a quiet day."""
     budget = retries.RetryBudget()
     for _ in range(100):
-        budget.note_request(0.0)
-    taken = sum(budget.take(1.0) for _ in range(50))
+        budget.record_request(0.0)
+    taken = sum(budget.try_acquire(1.0) for _ in range(50))
     assert taken == 10
     assert budget.remaining(20.0) == retries.MIN_RETRIES
 
 
-def test_queue_entries_keep_their_place() -> None:
+def test_queue_entries_survive_reclassification() -> None:
     """Guards against lost entries when a kind changes its class."""
     queue = queueing.ServiceQueue()
     first = queueing.QueueEntry("1", "plan", None, False, 5.0, 0.1, False)
@@ -470,14 +470,14 @@
     queue.reclassify("plan", True, 2.0)
     assert (queue.count(False), queue.count(True)) == (1, 1)
     assert queue.queued_work_s() == pytest.approx(2.1)
-    shares = queueing.SlotShares(4, 0.5, 2, {}, {})
-    assert list(queue.candidates(shares, 0.0)) == [second]
+    slot_counts = queueing.SlotCounts(4, 0.5, 2, {}, {})
+    assert list(queue.candidates(slot_counts, 0.0)) == [second]
     queue.remove(first)
     queue.remove(second)
     assert len(queue) == 0
 
 
-def test_work_on_a_silent_target_runs_elsewhere_although_others_wait() -> None:
+def test_work_on_an_unresponsive_target_runs_elsewhere_although_others_wait() -> None:
     """Guards against repeatable work that stays unknown during a peak."""
 
     async def main() -> None:
--- a/clementinespar/requests/tests/test_leaving.py
+++ b/clementinespar/requests/tests/test_leaving.py
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("signal", ["record", "host list", "target"])
 @pytest.mark.parametrize("kind", ["plan", "order"])
-def test_any_one_signal_keeps_new_work_away(signal: str, kind: str) -> None:
+def test_any_one_signal_stops_new_work(signal: str, kind: str) -> None:
     """Guards against work for a leaving target while two of three signals lag."""
 
     async def main() -> None:
--- a/clementinespar/requests/tests/test_lending.py
+++ b/clementinespar/requests/tests/test_lending.py
@@ -134,7 +134,7 @@
         assert sum(task.done() for task in peak) < len(peak)
         borrowed = sum(
             use.is_borrowed
-            for slots in setup.dispatcher._pool.slots_by_host_id.values()
+            for slots in setup.dispatcher._target_pool.slots_by_host_id.values()
             for use in slots.uses.values()
         )
         assert borrowed == 0
--- a/clementinespar/requests/tests/test_resent_orders.py
+++ b/clementinespar/requests/tests/test_resent_orders.py
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass
-class _Entry:
+class _EntryNode:
     """One entry node."""
 
     log_node: log_nodes.LogNode
@@ -61,11 +61,11 @@
 
 
 @dataclasses.dataclass
-class _Two:
+class _TwoNodes:
     """Two entry nodes; the first owns the queue while both see each other."""
 
-    a: _Entry
-    b: _Entry
+    a: _EntryNode
+    b: _EntryNode
     fakes: dict[str, fake_target.FakeTarget]
 
     def cut_peers(self) -> None:
@@ -78,7 +78,7 @@
 
 
 @contextlib.asynccontextmanager
-async def _two() -> AsyncIterator[_Two]:
+async def _two_nodes() -> AsyncIterator[_TwoNodes]:
     log = fake_log.FakeLog()
     fakes = helpers.make_fakes(4)
     async with contextlib.AsyncExitStack() as stack:
@@ -93,7 +93,7 @@
             )
             owners = _Owners()
             ingress = router.Router(owners, node.follower)
-            entries.append(_Entry(node, owner, owners, ingress))
+            entries.append(_EntryNode(node, owner, owners, ingress))
         a, b = entries
         for entry in entries:
             entry.owners.dispatchers_by_node = {
@@ -112,7 +112,7 @@
         result = await a.log_node.appender.append(published, 5.0)
         assert result.code == codes.ResultCode.OK
         await b.log_node.follower.refresh(1.0)
-        yield _Two(a, b, fakes)
+        yield _TwoNodes(a, b, fakes)
 
 
 _NO_REPLY = {"lose_replies": fake_log.ALL}
@@ -141,33 +141,33 @@
     resent_after_s: float,
 ) -> None:
     """Guards against a second run by a node that does not know of the first one."""
-    async with _two() as two:
-        request_id = identifiers.new_id(two.a.log_node.log.now_ms())
+    async with _two_nodes() as nodes:
+        request_id = identifiers.new_id(nodes.a.log_node.log.now_ms())
 
         async def cut() -> None:
             await asyncio.sleep(cut_after_s)
-            two.a.log_node.access.faults = fake_log.Faults(**faults)  # type: ignore
+            nodes.a.log_node.access.faults = fake_log.Faults(**faults)  # type: ignore
             if is_cut_from_peers:
-                two.cut_peers()
+                nodes.cut_peers()
 
         async def send_again() -> model.Outcome:
             await asyncio.sleep(resent_after_s)
-            return await two.b.send(request_id)
+            return await nodes.b.send(request_id)
 
         cutting = asyncio.create_task(cut())
         await asyncio.sleep(0)
-        first, again = await asyncio.gather(two.a.send(request_id), send_again())
+        first, again = await asyncio.gather(nodes.a.send(request_id), send_again())
         await cutting
-        two.a.log_node.access.faults = fake_log.Faults()
+        nodes.a.log_node.access.faults = fake_log.Faults()
         await asyncio.sleep(30.0)  # late claims and releases take effect
-        runs = two.runs(request_id)
+        runs = nodes.runs(request_id)
         assert runs <= 1
         kinds = {first.kind, again.kind}
         assert runs == 1 or _ANSWERED not in kinds
         assert runs == 0 or kinds != {_NOT_RUN}
         # A copy sent after the cut healed does not run it a second time either.
-        last = await two.b.send(request_id)
-        assert two.runs(request_id) <= 1
+        last = await nodes.b.send(request_id)
+        assert nodes.runs(request_id) <= 1
         assert runs == 0 or last.kind is model.OutcomeKind.UNKNOWN
 
 
@@ -175,12 +175,12 @@
 @paused_clock.test
 async def test_order_sent_to_both_nodes_runs_once(is_cut: bool) -> None:
     """Guards against a bound that holds only because nothing runs at all."""
-    async with _two() as two:
+    async with _two_nodes() as nodes:
         if is_cut:
-            two.cut_peers()
-        request_id = identifiers.new_id(two.a.log_node.log.now_ms())
+            nodes.cut_peers()
+        request_id = identifiers.new_id(nodes.a.log_node.log.now_ms())
         first, again = await asyncio.gather(
-            two.a.send(request_id), two.b.send(request_id)
+            nodes.a.send(request_id), nodes.b.send(request_id)
         )
-        assert two.runs(request_id) == 1
+        assert nodes.runs(request_id) == 1
         assert _ANSWERED in {first.kind, again.kind}
--- a/clementinespar/requests/tests/test_router.py
+++ b/clementinespar/requests/tests/test_router.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "first_kind", "first_code", "starts", "is_handed_on"),
+    ("kind", "first_kind", "first_code", "starts", "is_passed_on"),
     [
         ("order", _NOT_RUN, codes.ResultCode.OWNER_UNREACHABLE, False, True),
         ("order", _NOT_RUN, codes.ResultCode.NODE_STOPPING, False, True),
@@ -61,7 +61,7 @@
     first_kind: model.OutcomeKind,
     first_code: codes.ResultCode,
     starts: bool,
-    is_handed_on: bool,
+    is_passed_on: bool,
 ) -> None:
     """Guards against a second run through a second owner."""
 
@@ -74,13 +74,13 @@
         deadline = asyncio.get_running_loop().time() + 5
         request = model.Request("1-a", "scale", kind, b"", "", deadline)
         outcome = await ingress.handle(request)
-        assert outcome.kind is (_ANSWERED if is_handed_on else first_kind)
+        assert outcome.kind is (_ANSWERED if is_passed_on else first_kind)
         explanation = ingress.explain("1-a")
         assert explanation is not None
         assert explanation["state"] == outcome.kind.value
-        assert not ingress._traces_by_request_id["1-a"].outcome.body  # type: ignore
+        assert not ingress._recent_by_request_id["1-a"].outcome.body  # type: ignore
         assert explanation["because"][0] == "handed to " + (
-            "n0 then n1" if is_handed_on else "n0"
+            "n0 then n1" if is_passed_on else "n0"
         )
 
     paused_clock.run(main())
@@ -92,7 +92,7 @@
     async def main() -> None:
         ingress = router.Router(_Directory([]), helpers.FakeSource(None))
         deadline = asyncio.get_running_loop().time() + 5
-        for number in range(router.RECENT_OUTCOMES + 1):
+        for number in range(router.MAX_RECENT_REQUESTS + 1):
             request = model.Request(f"{number}-a", "scale", "plan", b"", "", deadline)
             outcome = await ingress.handle(request)
         assert outcome.code == codes.ResultCode.NOT_READY
--- a/clementinespar/requests/tests/test_server.py
+++ b/clementinespar/requests/tests/test_server.py
@@ -87,16 +87,16 @@
         async with node.serve():
             for path, headers, status, outcome, code in cases:
                 response = await node.post(path, headers)
-                told = json.loads(response.body)
-                assert response.code == status, (path, headers, told)
+                body = json.loads(response.body)
+                assert response.code == status, (path, headers, body)
                 assert response.headers["X-Outcome"] == outcome
                 assert response.headers["X-Result-Code"] == str(code)
                 assert "X-Request-Id" in response.headers
                 if status == 200:
-                    assert told["request_id"] == response.headers["X-Request-Id"]
+                    assert body["request_id"] == response.headers["X-Request-Id"]
                 else:
-                    assert told["code"] == code
-                    assert told["message"]
+                    assert body["code"] == code
+                    assert body["message"]
 
     asyncio.run(main())
 
@@ -152,9 +152,9 @@
     asyncio.run(main())
 
 
-def test_bodies_held_at_once_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_buffered_bodies_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against many callers whose bodies together fill the memory."""
-    monkeypatch.setattr(server, "MAX_HELD_BYTES", 1000)
+    monkeypatch.setattr(server, "MAX_BUFFERED_BYTES", 1000)
 
     async def main() -> None:
         node = _Node()
--- a/clementinespar/requests/tests/test_targets.py
+++ b/clementinespar/requests/tests/test_targets.py
@@ -59,7 +59,7 @@
     assert setup.host_ids() == ""
 
 
-def test_own_statement_outlasts_a_lagging_list_and_ends_with_the_reboot() -> None:
+def test_leaving_mark_outlasts_a_lagging_list_and_ends_with_the_reboot() -> None:
     """Guards against work for a leaving host while the list still says live."""
     setup = _Setup()
     setup.directory.mark_leaving(setup.target(0))
--- a/clementinespar/requests/tests/test_transport.py
+++ b/clementinespar/requests/tests/test_transport.py
@@ -110,9 +110,9 @@
     asyncio.run(main())
 
 
-async def _answer_raw(
+async def _serve_raw_answer(
     answer: bytes,
-    then: Callable[[int, transport.CurlTargetTransport], Awaitable[None]],
+    check_answer: Callable[[int, transport.CurlTargetTransport], Awaitable[None]],
 ) -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -122,7 +122,7 @@
 
     listener = await asyncio.start_server(serve, "127.0.0.1", 0)
     async with listener, transport.open_transport() as curl:
-        await then(listener.sockets[0].getsockname()[1], curl)
+        await check_answer(listener.sockets[0].getsockname()[1], curl)
 
 
 @pytest.mark.parametrize(
@@ -142,7 +142,9 @@
         ),
     ],
 )
-def test_only_whole_own_answers_pass(head: bytes, kind: str) -> None:
+def test_only_complete_answers_to_the_request_are_accepted(
+    head: bytes, kind: str
+) -> None:
     """Guards against truncated and crossed answers, and against redirects."""
 
     async def check(port: int, curl: transport.CurlTargetTransport) -> None:
@@ -150,7 +152,7 @@
         assert attempt.kind.value == kind
         assert attempt.body == (b"{}" if kind == "answered" else b"")
 
-    asyncio.run(_answer_raw(head + b"\r\n\r\n{}", check))
+    asyncio.run(_serve_raw_answer(head + b"\r\n\r\n{}", check))
 
 
 def test_trace_context_and_odd_names_reach_the_target() -> None:
@@ -193,7 +195,7 @@
     asyncio.run(main())
 
 
-def test_silence_is_bounded_and_the_next_connection_is_fresh(
+def test_unresponsive_target_times_out_and_the_next_connection_is_fresh(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against pooled connections that stay silent, and against proxies."""
@@ -203,13 +205,13 @@
     async def main() -> None:
         state = target_standin.TargetState("h0")
         connections: list[socket.socket] = []
-        kept = transport._set_socket_options
+        original = transport._set_socket_options
 
-        def note_connection(descriptor: int, purpose: int) -> int:
+        def record_connection(descriptor: int, purpose: int) -> int:
             connections.append(socket.socket(fileno=os.dup(descriptor)))
-            return kept(descriptor, purpose)
+            return original(descriptor, purpose)
 
-        monkeypatch.setattr(transport, "_set_socket_options", note_connection)
+        monkeypatch.setattr(transport, "_set_socket_options", record_connection)
         async with (
             target_standin.serve(state) as port,
             transport.open_transport() as curl,
@@ -239,7 +241,7 @@
     asyncio.run(main())
 
 
-def test_connections_of_their_own_are_closed_after_use() -> None:
+def test_dedicated_connections_are_closed_after_use() -> None:
     """Guards against idle connections that fill the limit of a target.
 
     A target closes connections over its limit at once; a request of another entry node
--- a/clementinespar/requests/transport.py
+++ b/clementinespar/requests/transport.py
@@ -118,11 +118,11 @@
                     ),
                 )
             )
-            told = json.loads(response.body)
+            body = json.loads(response.body)
             return model.TargetStatus(
-                busy_slots=int(told["busy_slots"]),
-                slots=int(told["slots"]),
-                is_leaving=bool(told["is_leaving"]),
+                busy_slots=int(body["busy_slots"]),
+                slots=int(body["slots"]),
+                is_leaving=bool(body["is_leaving"]),
             )
         except (
             httpclient.HTTPError,
@@ -218,11 +218,11 @@
 
 
 def _prepare(curl: Any, progress: _Progress, is_fresh: bool) -> None:
-    def note_sending(*addresses: object) -> int:
+    def mark_sending(*addresses: object) -> int:
         progress.may_have_sent = True
         return int(pycurl.PREREQFUNC_OK)
 
-    curl.setopt(pycurl.PREREQFUNCTION, note_sending)
+    curl.setopt(pycurl.PREREQFUNCTION, mark_sending)
     curl.setopt(pycurl.SOCKOPTFUNCTION, _set_socket_options)
     curl.setopt(pycurl.HTTP_VERSION, pycurl.CURL_HTTP_VERSION_1_1)
     curl.setopt(pycurl.FRESH_CONNECT, 1 if is_fresh else 0)
