--- a/clementinespar/requests/claiming.py
+++ b/clementinespar/requests/claiming.py
@@ -1,4 +1,4 @@
-"""Claims of requests that may not be repeated, turned into outcomes."""
+"""Claims of requests that are not repeatable, and the outcomes of failed claims."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -12,7 +12,9 @@
 from clementinespar.fleet import source as fleet_source
 from clementinespar.requests import model
 
-CLAIM_GRACE_S = 0.5  # a claim service that exceeds its timeout is given up after this
+# The claim service applies the timeout itself; a call that exceeds it by this time is
+# abandoned.
+CLAIM_GRACE_S = 0.5
 RELEASE_WAIT_S = 0.5  # longest time that a refusal waits for its claim's release
 
 _log = logbook.Logger(__name__)
@@ -24,14 +26,14 @@
     Parameters
     ----------
     source : fleet_source.FleetSource
-        Log time and folded claims.
+        Log time and the claims in the fold.
     claims : claim_service.ClaimService
         Appends claims to the log.
     """
 
     _source: fleet_source.FleetSource
     _claims: claim_service.ClaimService
-    _tasks: set[asyncio.Task[Any]]  # background tasks, kept so that they run on
+    _tasks: set[asyncio.Task[Any]]  # references that protect tasks from collection
 
     def __init__(
         self, source: fleet_source.FleetSource, claims: claim_service.ClaimService
@@ -41,19 +43,19 @@
         self._tasks = set()
 
     def is_claimed(self, request_id: str) -> bool:
-        """Whether the fold knows a claim of a request id."""
+        """Whether the fold contains a claim of a request id."""
         return request_id in self._source.state.claims.claims_by_request_id
 
     async def claim(
         self, request: model.Request, timeout_s: float
     ) -> model.Outcome | None:
-        """Claim a request; returns why it must not be sent, or None."""
+        """Claim a request; returns the refusal if it must not be sent, else None."""
         request_id = request.request_id
         timeout_s = max(0.001, timeout_s)
         task = self._spawn(self._claims.claim(request_id, timeout_s))
         await asyncio.wait({task}, timeout=timeout_s + CLAIM_GRACE_S)
         if not task.done():
-            # The claim may still be won; nobody will use it.
+            # The claim may still succeed later, and would then block a retry.
             self._spawn(self._release_when_won(task, request_id))
             code = codes.ResultCode.CLAIM_UNAVAILABLE
         elif task.exception() is not None:
@@ -65,23 +67,23 @@
             return None
         if code == codes.ResultCode.ALREADY_CLAIMED:
             return model.unknown(
-                code, "another claim of this id came first; it may have run"
+                code, "another claim of this id came first; the request may have run"
             )
         if code == codes.ResultCode.CLAIM_TOO_OLD:
             return self._reject_by_age(request_id)
         if code == codes.ResultCode.REQUEST_INVALID:
             return model.not_run(
                 code,
-                "a request that may not be repeated needs an id of the form "
+                "a request that is not repeatable needs an id of the form "
                 "<issued_ms>-<random>",
             )
         return model.not_run(
             codes.ResultCode.CLAIM_UNAVAILABLE,
-            "the log did not confirm in time that this request is the only one",
+            "the log did not confirm the claim of this request in time",
         )
 
     async def release(self, request: model.Request) -> None:
-        """Release a claim; a refusal waits for it for a short time only."""
+        """Release a claim; waits at most `RELEASE_WAIT_S` or until the deadline."""
         task = self._spawn(self._try_release(request.request_id))
         remaining_s = request.deadline - asyncio.get_running_loop().time()
         await asyncio.wait({task}, timeout=max(0.0, min(RELEASE_WAIT_S, remaining_s)))
@@ -95,12 +97,12 @@
         ):
             return model.not_run(
                 codes.ResultCode.REQUEST_ID_TOO_OLD,
-                "the id was issued by a clock that is ahead",
+                "the id was issued by a clock that is ahead of the log",
             )
-        # Claims of older ids are forgotten, so an earlier copy may have run.
+        # Claims of older ids have been dropped, so an earlier copy may have run.
         return model.unknown(
             codes.ResultCode.REQUEST_ID_EXPIRED,
-            "the id is too old to tell whether it ran before",
+            "the id is too old to tell whether the request ran before",
         )
 
     async def _try_release(self, request_id: str) -> None:
--- a/clementinespar/requests/demand_meter.py
+++ b/clementinespar/requests/demand_meter.py
@@ -1,14 +1,14 @@
-"""Smoothed demand of one service, as its queue owner sees it."""
+"""Smoothed demand of one service, as measured by the owner of its queue."""
 
 import math
 
-# Peaks last a few seconds and are served by queueing; host moves follow what remains
-# after smoothing over many peaks.
+# Peaks last a few seconds and are absorbed by the queue; host moves follow the demand
+# averaged over many peaks.
 SMOOTHING_S = 60.0
 
 
 class DemandMeter:
-    """Exponentially smoothed slots in demand and rate of refusals."""
+    """Exponentially smoothed number of demanded slots and rate of refusals."""
 
     _mean_slots: float
     _refused_per_s: float
@@ -22,12 +22,12 @@
         self._updated_at = now
 
     def set_level(self, slots: float, now: float) -> None:
-        """State the demand from now on."""
+        """Set the demand that holds from now until the next call."""
         self._advance(now)
         self._current_slots = slots
 
     def record_refusal(self, now: float) -> None:
-        """Count a refusal for want of capacity."""
+        """Count a refusal for lack of capacity."""
         self._advance(now)
         self._refused_per_s += 1.0 / SMOOTHING_S
 
--- a/clementinespar/requests/dispatcher.py
+++ b/clementinespar/requests/dispatcher.py
@@ -1,9 +1,9 @@
-"""The owner of services' queues: takes each request to its one outcome.
+"""Queues requests at their owner node and produces exactly one outcome for each.
 
-Outcomes are exact. A request is not run only if no attempt can have reached a target or
-every attempt was refused with the promise that nothing started. A request that must not
-repeat is claimed in the log before its first attempt and is never sent again after a
-byte of it may have left.
+Outcomes are exact. A request is reported as not run only if no attempt can have reached
+a target, or if every target that was reached refused it and stated that nothing had
+started. A request that is not repeatable is claimed in the log before its first attempt
+and is never sent again after a byte of it may have left.
 """
 
 import asyncio
@@ -33,19 +33,21 @@
     target_pool,
 )
 
-# The fold and the host list change without notice, so waiting requests are tried again.
+# No event announces changes of the fold or the host list, so queued requests are
+# dispatched again at this interval.
 DISPATCH_INTERVAL_S = 0.1
 # After this time without work another node may have owned the queue, so the targets'
 # busy slots are read again.
 OWNERSHIP_IDLE_S = 5.0
-# A transport ends an attempt at the deadline; the outcome then still takes some turns
-# of the loop.
+# A transport ends an attempt at the deadline; the outcome then still takes a few
+# iterations of the event loop.
 DEADLINE_GRACE_S = 1.0
-# An attempt that has no answer for this long, and for this many run times, is doubled
-# elsewhere if its target turns out to be silent and the budget allows it.
+# An attempt without an answer for this long, and for this many expected run times, is
+# also sent to a second target if its own target is unresponsive and the retry budget
+# allows it.
 HEDGE_DELAY_S = 1.0
 HEDGE_DELAY_RUN_TIMES = 8.0
-MAX_REFUSED_IDS = 1024  # requests refused for good that are remembered
+MAX_REFUSED_IDS = 1024  # remembered ids of requests that are refused permanently
 
 _CAPACITY_CODES = frozenset(
     {
@@ -59,7 +61,7 @@
 
 
 class Dispatcher:
-    """`RequestHandler` at the owner node for all services that it owns.
+    """`RequestHandler` of an owner node for all services whose queues it owns.
 
     Parameters
     ----------
@@ -78,14 +80,14 @@
     _transport: model.TargetTransport
     _claimer: claiming.RequestClaimer
     _services_by_name: dict[str, flights.ServiceState]
-    _target_pool: target_pool.TargetPool  # slots of the targets
+    _target_pool: target_pool.TargetPool
     _in_flight_by_request_id: dict[str, flights.InFlightRequest]
     # Outcomes of requests that failed on several targets, oldest first.
     _refused_by_request_id: collections.OrderedDict[str, model.Outcome]
-    _tasks: set[asyncio.Task[Any]]  # background tasks, kept so that they run on
+    _tasks: set[asyncio.Task[Any]]  # references that protect tasks from collection
     _buffered_bytes: int  # bodies of all requests that wait or are in flight
     _is_draining: bool
-    _idle: asyncio.Event  # no request is queued or in flight
+    _idle: asyncio.Event  # set while no request is queued or in flight
 
     def __init__(
         self,
@@ -110,7 +112,7 @@
         self._idle = asyncio.Event()
         self._idle.set()
 
-    # The interface of the request path.
+    # Request handling.
 
     async def handle(
         self, request: model.Request, on_started: Callable[[], None]
@@ -150,10 +152,10 @@
             )
         return in_flight.task.result()
 
-    # The interface of capacity planning, explanation and stop.
+    # Capacity planning, explanation and shutdown.
 
     def demand_by_service(self) -> dict[str, demand.ServiceDemand]:
-        """Return the demand of each service whose requests came to this node."""
+        """Return the demand of each service for which this node received requests."""
         now = asyncio.get_running_loop().time()
         demands = {}
         for name, service in self._services_by_name.items():
@@ -161,8 +163,8 @@
                 continue
             service.update_demand(now)
             mean_slots, refused_per_s = service.meter.read(now)
-            # A node that no longer owns the queue keeps the time of its last request,
-            # so the newer report of the new owner counts.
+            # A previous owner reports the time of its last request, so that the newer
+            # report of the current owner takes precedence.
             observed_at = (
                 now
                 if now - service.last_active_at < OWNERSHIP_IDLE_S
@@ -174,7 +176,7 @@
         return demands
 
     def ejected_host_ids(self) -> frozenset[str]:
-        """Return hosts whose targets are ejected."""
+        """Return the hosts whose targets are ejected."""
         ejected: frozenset[str] = frozenset()
         for service in self._services_by_name.values():
             ejected |= service.ejections.ejected_host_ids()
@@ -183,13 +185,15 @@
     def explain(self, service: str) -> dict[str, Any]:
         """Return why the requests of a service wait, for operators."""
         now = asyncio.get_running_loop().time()
-        known = self._services_by_name.get(service)
-        usable = [] if known is None else self._usable_targets(known, now)
+        service_state = self._services_by_name.get(service)
+        usable = (
+            [] if service_state is None else self._usable_targets(service_state, now)
+        )
         state = "draining" if self._is_draining else "serving"
-        return service_explanation.explain(service, known, usable, state, now)
+        return service_explanation.explain(service, service_state, usable, state, now)
 
     def begin_drain(self) -> None:
-        """Take no new requests; queued ones and those in flight are finished."""
+        """Refuse new requests; queued and in-flight requests are finished."""
         self._is_draining = True
 
     async def wait_idle(self, timeout_s: float) -> list[str]:
@@ -205,7 +209,7 @@
     def _admit(
         self, request: model.Request, on_started: Callable[[], None], now: float
     ) -> flights.InFlightRequest | model.Outcome:
-        """Return a flight with its task started, or why the request is refused."""
+        """Return an in-flight request whose task is started, or the refusal."""
         refused = self._refused_by_request_id.get(request.request_id)
         if refused is not None:
             return refused
@@ -215,7 +219,8 @@
         declared = document.services.get(request.service)
         if declared is None:
             return model.not_run(
-                codes.ResultCode.SERVICE_UNKNOWN, f"no service {request.service}"
+                codes.ResultCode.SERVICE_UNKNOWN,
+                f"the document has no service {request.service}",
             )
         kind = declared.kinds.get(request.kind)
         if kind is None:
@@ -242,7 +247,8 @@
             usable,
             document,
             declared,
-            # All own targets are usable; lent ones are not while their lender is busy.
+            # Lent targets are not in `usable` while services of the lending pool have
+            # queued requests, but they still count as targets of the service.
             has_targets=bool(usable or self._targets.lent_targets_of(service.name)),
             buffered_bytes=self._buffered_bytes,
             now=now,
@@ -251,14 +257,14 @@
             if refusal.code in _CAPACITY_CODES:
                 service.meter.record_refusal(now)
             return refusal
-        # Refused requests are no load, so they earn no retries.
+        # Refused requests put no load on the targets, so they add no retries.
         service.budget.record_request(now)
         self._in_flight_by_request_id[request.request_id] = in_flight
         self._buffered_bytes += len(request.body)
         self._idle.clear()
         in_flight.task = asyncio.get_running_loop().create_task(self._run(in_flight))
-        # Counted now, not when the task runs: requests that arrive in the same round
-        # of the loop must see each other.
+        # Counted now, not when the task runs: the admission of requests that arrive in
+        # the same iteration of the event loop must count this one.
         if in_flight.is_repeatable:
             self._enqueue(in_flight)
         else:
@@ -295,7 +301,11 @@
         )
 
     def _service_state(self, name: str, now: float) -> flights.ServiceState:
-        """Return a service's memory; forgets slots that another owner may have used."""
+        """Return the state of a service, creating it if needed.
+
+        If the node was idle for long enough that another node may have owned the queue,
+        the slot counts of the targets are invalidated.
+        """
         service = self._services_by_name.get(name)
         if service is None:
             service = self._services_by_name[name] = flights.ServiceState(name, now)
@@ -305,10 +315,10 @@
         service.last_active_at = now
         return service
 
-    # The life of one request.
+    # Execution of one request.
 
     async def _run(self, in_flight: flights.InFlightRequest) -> model.Outcome:
-        """Take a request to its outcome; never raises."""
+        """Return the outcome of an admitted request; never raises."""
         try:
             outcome = await self._claim_and_send(in_flight)
         except Exception:
@@ -356,7 +366,7 @@
                 return self._outcome_of_failures(in_flight, refusal)
 
     async def _claim(self, in_flight: flights.InFlightRequest) -> model.Outcome | None:
-        """Claim a request; returns why it must not be sent, or None."""
+        """Claim a request; returns the refusal if it must not be sent, else None."""
         now = asyncio.get_running_loop().time()
         min_expected_s = in_flight.service.run_times.min_expected_s(
             in_flight.request.kind, now
@@ -370,7 +380,7 @@
     async def _wait_for_slot(
         self, in_flight: flights.InFlightRequest
     ) -> flights.Assignment | model.Outcome:
-        """Wait in the queue; returns a target with a slot, or why none was given."""
+        """Wait in the queue; returns a target with a slot, or the refusal."""
         loop = asyncio.get_running_loop()
         entry = in_flight.entry
         if in_flight.assignment is None:
@@ -384,7 +394,7 @@
         if isinstance(assignment, flights.Assignment) and (
             in_flight.waiters == 0 or loop.time() >= entry.deadline
         ):
-            # The caller left or the loop was late between the choice and now.
+            # The caller left, or the deadline passed, after the slot was assigned.
             self._release_unused(in_flight, assignment)
             if in_flight.waiters == 0:
                 return _cancelled()
@@ -394,7 +404,7 @@
         return assignment
 
     def _enqueue(self, in_flight: flights.InFlightRequest) -> None:
-        """Put a request into the queue; `_take_from_queue` takes it out."""
+        """Add a request to the queue; `_dequeue` removes it."""
         loop = asyncio.get_running_loop()
         service, entry = in_flight.service, in_flight.entry
         entry.is_long = service.is_long_by_kind.get(entry.kind, entry.is_long)
@@ -421,7 +431,7 @@
     async def _attempt(
         self, in_flight: flights.InFlightRequest, assignment: flights.Assignment
     ) -> tuple[str, model.Attempt]:
-        """Make one attempt and account for it; goes on if nobody waits any more."""
+        """Make one attempt and record its result, even if all callers have left."""
         loop = asyncio.get_running_loop()
         service, use = in_flight.service, assignment.use
         document = self._source.state.documents.production
@@ -458,12 +468,12 @@
         attempt: model.Attempt,
         run_s: float,
     ) -> None:
-        """Account for a finished attempt: slot, run time, ejection, leaving."""
+        """Record a finished attempt: slot, run time, ejection, leaving."""
         now = asyncio.get_running_loop().time()
         service, host_id = in_flight.service, assignment.target.host_id
         request_id = in_flight.request.request_id
         is_answer = attempt.kind is model.AttemptKind.ANSWERED
-        # An answer with another status came after the work had ended.
+        # A target that answers, with whatever status, has finished the work.
         is_over = attempt.kind is not model.AttemptKind.UNKNOWN or attempt.status != 0
         assignment.target_slots.release(assignment.use, is_over, now)
         service.uses.pop(assignment.use, None)
@@ -472,7 +482,8 @@
             self._target_pool.mark_leaving(assignment.target, service.name)
         if is_answer:
             if in_flight.assignment is not None and not in_flight.assignment.done():
-                # The silent target answered while its request waited for another one.
+                # The unresponsive target answered while its request was queued for a
+                # second target.
                 self._dequeue(in_flight, _answered(host_id, attempt))
             service.run_times.observe(in_flight.request.kind, run_s, now)
             self._update_class(service, in_flight.request.kind)
@@ -481,8 +492,8 @@
             service.ejections.cancel_probe(host_id)
         else:
             if attempt.kind is model.AttemptKind.NOT_STARTED and attempt.status:
-                # The target has fewer free slots than counted here: another node may
-                # have sent work to it.
+                # The target has fewer free slots than this node counted: another node
+                # may have sent work to it.
                 assignment.target_slots.is_status_known = False
             service.ejections.record_failure(
                 host_id, request_id, now, len(service.host_ids)
@@ -502,13 +513,13 @@
         while in_flight.running:
             now = loop.time()
             if now >= give_up_at:
-                silent = model.Attempt(
+                unresponsive = model.Attempt(
                     model.AttemptKind.UNKNOWN, codes.ResultCode.TARGET_SILENT
                 )
-                in_flight.failures.append(("", silent))
+                in_flight.failures.append(("", unresponsive))
                 return None
             if now >= hedge_at:
-                # The expected run time may have been learned since the start.
+                # The estimated run time may have changed since the attempt started.
                 hedge_at = began_at + self._hedge_delay_s(in_flight)
                 if now >= hedge_at:
                     hedge_at = math.inf
@@ -534,17 +545,17 @@
         return None
 
     def _hedge_delay_s(self, in_flight: flights.InFlightRequest) -> float:
-        """Return after what time an attempt without an answer is suspicious."""
+        """Return after what time without an answer the target is checked."""
         expected_s = in_flight.service.run_times.expected_s(
             in_flight.request.kind, in_flight.declared_s
         )
         return max(HEDGE_DELAY_S, HEDGE_DELAY_RUN_TIMES * expected_s)
 
     async def _hedge_if_unresponsive(self, in_flight: flights.InFlightRequest) -> None:
-        """Send a repeatable request to a second target if the first is silent.
+        """Request a second attempt if the first target is unresponsive.
 
-        A straggler shows in the busy slots of its target and is left alone. The first
-        attempt keeps its slot and its chance to answer.
+        A straggler still occupies one of the busy slots that its target reports, and is
+        not hedged. The first attempt keeps its slot, and its answer still counts.
         """
         loop = asyncio.get_running_loop()
         service, request_id = in_flight.service, in_flight.request.request_id
@@ -574,11 +585,12 @@
             or self._exhausted_quota(service, in_flight.entry) is not None
         ):
             return
-        # It waits for a slot like any other; the queue keeps its order of arrival.
+        # The second attempt is queued like any other request, with the request's
+        # original order of arrival.
         in_flight.is_hedging = service.budget.try_acquire(loop.time())
 
     def _check_retry(self, in_flight: flights.InFlightRequest) -> model.Outcome | None:
-        """Return why a failed request must not be sent again, or None."""
+        """Return the refusal if a failed request must not be sent again, else None."""
         now = asyncio.get_running_loop().time()
         service = in_flight.service
         has_run = any(
@@ -586,7 +598,9 @@
             for _, attempt in in_flight.failures
         )
         if has_run and not in_flight.is_repeatable:
-            return model.not_run(codes.ResultCode.TARGETS_REFUSED, "it may have run")
+            return model.not_run(
+                codes.ResultCode.TARGETS_REFUSED, "the request may have run"
+            )
         if in_flight.waiters == 0:
             return _cancelled()
         if now >= in_flight.request.deadline:
@@ -599,19 +613,19 @@
         ):
             return model.not_run(
                 codes.ResultCode.TARGETS_REFUSED,
-                f"{in_flight.attempts} targets did not take the request",
+                f"{in_flight.attempts} targets did not accept the request",
             )
         if not service.budget.try_acquire(now):
             return model.not_run(
                 codes.ResultCode.RETRY_BUDGET_EMPTY,
-                "a target did not take the request and the retry budget is empty",
+                "a target did not accept the request and the retry budget is empty",
             )
         return None
 
     def _outcome_of_failures(
         self, in_flight: flights.InFlightRequest, refusal: model.Outcome
     ) -> model.Outcome:
-        """Return the outcome of a request of which no attempt was answered."""
+        """Return the outcome of a request without an answered attempt."""
         may_have_run = [
             (host_id, attempt)
             for host_id, attempt in in_flight.failures
@@ -645,7 +659,7 @@
             host_id=host_id or None,
         )
 
-    # The queue and the choice of targets.
+    # Queue and choice of targets.
 
     def _drop_if_queued(self, in_flight: flights.InFlightRequest) -> None:
         """Drop a queued request whose callers have all left."""
@@ -674,7 +688,7 @@
     def _exhausted_quota(
         self, service: flights.ServiceState, entry: queueing.QueueEntry
     ) -> int | None:
-        """Return the quota of a request's team if all of it is in use."""
+        """Return the slot quota of a request's team if it is exhausted, else None."""
         document = self._source.state.documents.production
         if entry.team is None or document is None:
             return None
@@ -689,6 +703,7 @@
         in_flight: flights.InFlightRequest,
         result: flights.Assignment | model.Outcome,
     ) -> None:
+        """Remove a request from the queue and resolve its assignment."""
         assert in_flight.assignment is not None and in_flight.expiry is not None
         in_flight.expiry.cancel()
         in_flight.service.queue.remove(in_flight.entry)
@@ -697,7 +712,7 @@
         in_flight.service.update_demand(asyncio.get_running_loop().time())
 
     def _dispatch_queued(self, service: flights.ServiceState) -> None:
-        """Give free slots to waiting requests."""
+        """Assign free slots to the queued requests of a service."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         document = self._source.state.documents.production
@@ -740,7 +755,7 @@
     def _release_unused(
         self, in_flight: flights.InFlightRequest, assignment: flights.Assignment
     ) -> None:
-        """Give back a slot that was never used."""
+        """Release a slot to which no attempt was sent."""
         now = asyncio.get_running_loop().time()
         assignment.target_slots.release(assignment.use, True, now)
         in_flight.service.uses.pop(assignment.use, None)
@@ -768,7 +783,7 @@
     def _has_queued_requests(
         self, document: document_model.Document, pool: str | None
     ) -> bool:
-        """Whether requests of a pool's own services wait, so that it lends nothing."""
+        """Whether a pool's own services have queued requests, so that it lends none."""
         return any(
             len(service.queue) > 0
             for name, service in self._services_by_name.items()
@@ -776,12 +791,12 @@
         )
 
     def _dispatch_after_release(self, service: flights.ServiceState) -> None:
-        """Give a released slot to its service, else to one that borrows or lends."""
+        """Assign a released slot to its service first, then to other services."""
         self._dispatch_queued(service)
         self._dispatch_all(skipped=service)
 
     def _dispatch_all(self, skipped: flights.ServiceState | None = None) -> None:
-        """Give free slots to the waiting requests of all services."""
+        """Assign free slots to the queued requests of all services but one."""
         for service in list(self._services_by_name.values()):
             if len(service.queue) and service is not skipped:
                 self._dispatch_queued(service)
@@ -793,16 +808,17 @@
             *self._targets.lent_targets_of(service),
         ]
 
-    # Learned classes.
+    # Run-time classes.
 
     def _reclassify_as_long(
         self, in_flight: flights.InFlightRequest, use: slots.SlotUse
     ) -> None:
-        """Count a running request as long once it outlives the short class."""
+        """Count a running request as long once it exceeds the short class's limit."""
         now = asyncio.get_running_loop().time()
         use.is_long = True
-        # A lower bound, learned now: otherwise a wave of long work that was declared
-        # short would take all slots before its first answer.
+        # A lower bound of the run time, recorded before the answer: otherwise many long
+        # requests that were declared short would take all slots before the first one
+        # finished.
         in_flight.service.run_times.observe(
             in_flight.request.kind, 2 * (now - use.started_at), now
         )
--- a/clementinespar/requests/ejection.py
+++ b/clementinespar/requests/ejection.py
@@ -1,4 +1,4 @@
-"""Ejection of targets that fail, judged by the outcomes of attempts."""
+"""Ejection of failing targets, based on the outcomes of attempts."""
 
 import collections
 import dataclasses
@@ -6,13 +6,13 @@
 from collections.abc import Iterable
 
 WINDOW_S = 10.0
-MIN_FAILURES = 3  # fewer may be one request's or one restart's
+MIN_FAILURES = 3  # fewer may come from a single request or a restart
 MIN_FAILURE_SHARE = 0.5
-MAX_EJECTED_SHARE = 1 / 3  # more would put too much work on the rest
+MAX_EJECTED_SHARE = 1 / 3  # more would overload the remaining targets
 FIRST_EJECTION_S = 2.0
 MAX_EJECTION_S = 60.0
-# A failure makes a target look as if it had one more slot in use for this long. Without
-# it, a worker that fails at once is always the least loaded one.
+# For this long, each failure counts like one more slot in use at its target. Without
+# this, a worker that fails immediately would always be the least loaded one.
 PENALTY_S = 1.0
 
 
@@ -33,13 +33,13 @@
     failures: collections.deque[_AttemptResult] = dataclasses.field(
         default_factory=collections.deque
     )  # the failures among the results
-    ejected_until: float | None = None  # None: in use; else loop time of the next probe
+    ejected_until: float | None = None  # loop time of the next probe; None: not ejected
     ejection_s: float = FIRST_EJECTION_S  # doubles with each failed probe
     is_probing: bool = False  # one probe is in flight
 
 
 class EjectionTracker:
-    """Outcomes and ejections of the targets of one service."""
+    """Recent results and ejections of the targets of one service."""
 
     _records_by_host_id: dict[str, _TargetRecord]
 
@@ -47,7 +47,7 @@
         self._records_by_host_id = collections.defaultdict(_TargetRecord)
 
     def record_success(self, host_id: str, request_id: str, now: float) -> None:
-        """Count a good answer; a good probe ends the ejection."""
+        """Record a successful attempt; if it is a probe, the ejection ends."""
         record = self._records_by_host_id[host_id]
         if record.is_probing:
             record.is_probing = False
@@ -61,9 +61,10 @@
     def record_failure(
         self, host_id: str, request_id: str, now: float, pool_size: int
     ) -> None:
-        """Count a failed attempt; may eject the target."""
+        """Record a failed attempt; may eject the target."""
         record = self._records_by_host_id[host_id]
-        # A silent attempt is noted when it is noticed and again when it ends.
+        # An attempt at an unresponsive target is reported twice: when the target is
+        # found unresponsive and when the attempt ends.
         if not any(r.request_id == request_id for r in record.failures):
             result = _AttemptResult(now, True, request_id)
             record.results.append(result)
@@ -83,7 +84,11 @@
         self._records_by_host_id[host_id].is_probing = False
 
     def discard_failures(self, request_id: str, host_ids: Iterable[str]) -> None:
-        """Take back the failures of a request that failed on several targets."""
+        """Remove the failures of a request that failed on several targets.
+
+        Such a request is the likely cause itself, so its targets are not blamed; an
+        ejection that rests on these failures ends.
+        """
         for host_id in host_ids:
             record = self._records_by_host_id.get(host_id)
             if record is None:
@@ -100,12 +105,12 @@
                 record.ejected_until = None
 
     def is_ejected(self, host_id: str) -> bool:
-        """Whether a target gets no ordinary work now."""
+        """Whether a target is ejected, so that it receives only probes."""
         record = self._records_by_host_id.get(host_id)
         return record is not None and record.ejected_until is not None
 
     def is_probe_due(self, host_id: str, now: float) -> bool:
-        """Whether an ejected target may get its one probe."""
+        """Whether an ejected target may receive its one probe."""
         record = self._records_by_host_id.get(host_id)
         return (
             record is not None
@@ -115,18 +120,18 @@
         )
 
     def start_probe(self, host_id: str) -> None:
-        """Note that the probe of an ejected target was sent."""
+        """Mark the probe of an ejected target as in flight."""
         self._records_by_host_id[host_id].is_probing = True
 
     def penalty(self, host_id: str, now: float) -> int:
-        """Return how many slots more the target shall seem to use."""
+        """Return the number of slots to add to those that the target has in use."""
         record = self._records_by_host_id.get(host_id)
         if record is None:
             return 0
         return sum(result.at >= now - PENALTY_S for result in record.failures)
 
     def ejected_host_ids(self) -> frozenset[str]:
-        """Return the ejected targets' hosts."""
+        """Return the hosts of the ejected targets."""
         return frozenset(
             host_id
             for host_id, record in self._records_by_host_id.items()
@@ -134,7 +139,10 @@
         )
 
     def retain_hosts(self, host_ids: set[str]) -> None:
-        """Forget targets that left the pool; a rebooted one starts afresh."""
+        """Drop the records of all other hosts.
+
+        A target that returns to the pool, such as one that rebooted, has no failures.
+        """
         for host_id in [i for i in self._records_by_host_id if i not in host_ids]:
             del self._records_by_host_id[host_id]
 
@@ -142,7 +150,7 @@
         failures = len(record.failures)
         if failures < MIN_FAILURES:
             return False
-        # Failures in a row show a new fault before the good answers of the window fade.
+        # Consecutive failures reveal a new fault before the successes leave the window.
         newest = itertools.islice(reversed(record.results), MIN_FAILURES)
         if all(result.is_failure for result in newest):
             return True
--- a/clementinespar/requests/flights.py
+++ b/clementinespar/requests/flights.py
@@ -1,4 +1,4 @@
-"""State of requests from admission to outcome, and of the services they are for."""
+"""State of in-flight requests, and of the services that they are for."""
 
 import asyncio
 import dataclasses
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Assignment:
-    """A target with a slot taken for one attempt."""
+    """A target and the slot that is acquired there for one attempt."""
 
     target: model.Target
     target_slots: slots.TargetSlots
@@ -33,16 +33,17 @@
     service: "ServiceState"
     entry: queueing.QueueEntry
     is_repeatable: bool
-    declared_s: float  # run time as the caller or the document declares it
+    declared_s: float  # run time that the caller or the document declares
     started_callbacks: list[Callable[[], None]]
-    waiters: int = 0  # callers that still wait; 0 means all of them left
+    waiters: int = 0  # callers that still wait; 0 if all of them have left
     has_started: bool = False  # a byte may have left for a target
     is_claimed: bool = False
     queued_at: float = 0.0  # event-loop time
-    expiry: asyncio.TimerHandle | None = None  # refuses it while it is queued
+    expiry: asyncio.TimerHandle | None = None  # refuses the request if still queued
     waited_s: float = 0.0
     attempts: int = 0
-    # Its target is silent: it shall also run elsewhere, and the retry is paid for.
+    # A second attempt is due because the target is unresponsive; its retry is already
+    # counted in the budget.
     is_hedging: bool = False
     tried_host_ids: set[str] = dataclasses.field(default_factory=set)
     failures: list[tuple[str, model.Attempt]] = dataclasses.field(default_factory=list)
@@ -54,7 +55,7 @@
     task: "asyncio.Task[model.Outcome] | None" = None
 
     def mark_started(self) -> None:
-        """Tell the callers that a byte may leave from now on."""
+        """Report to the callers, once, that a byte may leave for a target now."""
         if not self.has_started:
             self.has_started = True
             for callback in self.started_callbacks:
@@ -62,7 +63,7 @@
 
 
 class ServiceState:
-    """Queue and memory of one service."""
+    """Queue, statistics and attempts of one service."""
 
     name: str
     queue: queueing.ServiceQueue
@@ -70,10 +71,10 @@
     budget: retries.RetryBudget
     ejections: ejection.EjectionTracker
     meter: demand_meter.DemandMeter
-    requests_by_entry: dict[queueing.QueueEntry, InFlightRequest]  # those that wait
-    uses: dict[slots.SlotUse, str]  # attempts in flight, with their kind
+    requests_by_entry: dict[queueing.QueueEntry, InFlightRequest]  # queued requests
+    uses: dict[slots.SlotUse, str]  # kind of the request by attempt in flight
     is_long_by_kind: dict[str, bool]
-    host_ids: set[str]  # targets seen at the last look
+    host_ids: set[str]  # hosts of the usable targets when last read
     claiming_count: int  # requests whose claim is not decided yet
     last_active_at: float  # event-loop time of the newest request or answer
     dispatch_timer: asyncio.TimerHandle | None
@@ -94,7 +95,7 @@
         self.dispatch_timer = None
 
     def update_demand(self, now: float) -> None:
-        """Measure the demand after a change."""
-        # Queued work counts as the slots that would run it within a second.
+        """Pass the current demand to the meter."""
+        # Queued work counts as the number of slots that would finish it in one second.
         queued = min(float(len(self.queue)), self.queue.queued_work_s())
         self.meter.set_level(len(self.uses) + queued, now)
--- a/clementinespar/requests/model.py
+++ b/clementinespar/requests/model.py
@@ -1,4 +1,4 @@
-"""Requests, outcomes and the interfaces between the parts of the request path."""
+"""Requests, outcomes and the interfaces between components of the request path."""
 
 import dataclasses
 import enum
@@ -38,9 +38,9 @@
 
     kind: OutcomeKind
     code: codes.ResultCode
-    reason: str = ""  # plain sentence for operators and callers
+    reason: str = ""  # explanation for operators and callers
     status: int = 200  # HTTP status of an answer
-    body: bytes = b""  # whole answer
+    body: bytes = b""  # complete body of an answer
     content_type: str = "application/json"
     host_id: str | None = None  # host of the target that answered or failed last
     attempts: int = 0  # attempts sent to targets
@@ -58,14 +58,14 @@
 
 
 class RequestHandler(Protocol):
-    """Takes a request to its one outcome: the owner's dispatcher or a remote owner."""
+    """Handles requests: the dispatcher of this node or a client of a remote owner."""
 
     async def handle(self, request: Request, on_started: Callable[[], None]) -> Outcome:
         """Return the outcome; never raises for a failure of targets or peers.
 
         ``on_started`` is called before the first byte may leave for a target.
-        Cancellation of the task means that the caller is gone: a queued request is then
-        dropped, a running one goes on at its target.
+        Cancellation of the task means that the caller has left: a queued request is
+        then dropped, and a running one continues at its target.
         """
         ...
 
@@ -80,7 +80,7 @@
 
 
 class OwnerDirectory(Protocol):
-    """Which node owns which service now."""
+    """Current owner of each service's queue."""
 
     def candidates(self, service: str) -> Sequence[OwnerCandidate]:
         """Return live nodes in rendezvous order; the first one owns the queue."""
@@ -99,10 +99,10 @@
 
 
 class AttemptKind(enum.Enum):
-    """What one attempt at a target proved."""
+    """What is certain about one attempt at a target."""
 
     ANSWERED = "answered"
-    NOT_STARTED = "not-started"  # no byte left, or the target promised it did not start
+    NOT_STARTED = "not-started"  # no byte left, or the target states it did not start
     UNKNOWN = "unknown"
 
 
@@ -116,12 +116,12 @@
     status: int = 0
     body: bytes = b""
     content_type: str = "application/json"
-    is_leaving: bool = False  # the target said that it is leaving
+    is_leaving: bool = False  # the target reports that it is leaving
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetStatus:
-    """What a target says about itself."""
+    """Status that a target reports about itself."""
 
     busy_slots: int
     slots: int
@@ -154,9 +154,9 @@
         ...
 
     def mark_leaving(self, target: Target) -> None:
-        """Exclude a target that said it is leaving."""
+        """Exclude a target that reports that it is leaving."""
         ...
 
     def clear_leaving(self, target: Target) -> None:
-        """Include a target again that says it is no longer leaving."""
+        """Include a target again that reports that it is no longer leaving."""
         ...
--- a/clementinespar/requests/queueing.py
+++ b/clementinespar/requests/queueing.py
@@ -1,8 +1,8 @@
-"""The bounded queue of one service, ordered to protect short work.
+"""The queue of one service, ordered so that long work cannot block short work.
 
-There are two classes, short and long. Long work may hold a part of the slots only,
-unless no short work came recently. Within a class, urgent requests come first, then the
-earliest deadline. Requests of a team at its quota wait without blocking others.
+There are two classes, short and long. Long work may use only a part of the slots,
+unless no short work arrived recently. Within a class, urgent requests come first, then
+the earliest deadline. Requests of a team at its quota wait without blocking others.
 """
 
 import bisect
@@ -10,13 +10,14 @@
 import math
 from collections.abc import Iterator
 
-# The reserve for short work is lent to long work after this time without short work.
-# It is longer than the few seconds between two peaks of a queue.
+# Long work may use the reserve for short work after this time without short work. It is
+# longer than the few seconds between two peaks of a queue.
 RESERVE_IDLE_S = 10.0
-# Slots, as a share, that waiting long work gets before short work. Without it, constant
+# Share of the slots that queued long work gets before short work. Without it, constant
 # short work would starve long work.
 LONG_SHARE = 0.125
-# Entries of other order that may go before an entry that cannot use any free target.
+# Entries of a class that are tried, in order, for the free targets. An entry that can
+# use none of them, e.g. after a failed attempt there, does not block those behind it.
 LOOK_AHEAD = 8
 
 
@@ -29,9 +30,9 @@
     team: str | None  # team with a quota, else None
     is_urgent: bool
     deadline: float  # event-loop time
-    cost_s: float  # learned run time; 0 when nothing is learned
+    cost_s: float  # estimated run time; 0 before the first sample
     is_long: bool
-    sequence: int = 0  # order of arrival, given by the queue
+    sequence: int = 0  # order of arrival, assigned by the queue
 
     @property
     def key(self) -> tuple[bool, float, int]:
@@ -41,17 +42,17 @@
 
 @dataclasses.dataclass(slots=True)
 class SlotCounts:
-    """Slots of a service at one moment."""
+    """Slots of a service and their use at one moment."""
 
     total: int  # slots of all targets that may receive work
-    short_reserve: float  # share of the slots that long work may not hold
-    in_use_long: int  # of the long class, or outlived the short one
+    short_reserve: float  # share of the slots that long work may not use
+    in_use_long: int  # by long requests, including those that exceeded the short limit
     in_use_by_team: dict[str, int]
     quota_by_team: dict[str, int]
 
 
 class _Lane:
-    """Entries of one class and team in order."""
+    """Entries of one class and team in queue order."""
 
     keys: list[tuple[bool, float, int]]
     entries: list[QueueEntry]  # parallel to keys
@@ -83,7 +84,7 @@
     _sequence: int
     _last_short_at: float  # event-loop time of the newest short arrival
     _count_by_class: dict[bool, int]  # by is_long
-    _work_s: float  # learned run time of all waiting requests together
+    _work_s: float  # sum of the estimated run times of all waiting requests
 
     def __init__(self) -> None:
         self._lanes = {}
@@ -105,16 +106,16 @@
             yield from lane.entries
 
     def queued_work_s(self) -> float:
-        """Return the learned run time of all waiting requests together."""
+        """Return the sum of the estimated run times of all waiting requests."""
         return max(0.0, self._work_s)
 
     def record_arrival(self, is_long: bool, now: float) -> None:
-        """Note that a request of a class arrived, whether or not it waits."""
+        """Record the arrival of a request, whether or not it is queued."""
         if not is_long:
             self._last_short_at = now
 
     def add(self, entry: QueueEntry) -> None:
-        """Add a request; a request that returns keeps its order of arrival."""
+        """Add a request; one that is added again keeps its order of arrival."""
         if entry.sequence == 0:
             self._sequence += 1
             entry.sequence = self._sequence
@@ -132,7 +133,7 @@
             del self._lanes[entry.is_long, entry.team]
 
     def reclassify(self, kind: str, is_long: bool, cost_s: float) -> None:
-        """Move the waiting requests of a kind to the class that was learned."""
+        """Move the waiting requests of a kind to another class."""
         moved = [e for e in self.entries() if e.kind == kind and e.is_long != is_long]
         for entry in moved:
             self.remove(entry)
@@ -164,10 +165,10 @@
     def expected_wait_s(
         self, entry: QueueEntry, slot_counts: SlotCounts, now: float
     ) -> tuple[float, bool]:
-        """Return how long a new request would wait, and whether its quota is why.
+        """Return how long a new request would wait, and whether its quota is the cause.
 
-        The estimate counts learned run times of the requests in front only, so it is
-        rather too short than too long: a refusal must be certain to be right.
+        The estimate counts only the estimated run times of the requests ahead. It errs
+        on the short side, so that a request is refused only if it would be late.
         """
         key = (not entry.is_urgent, entry.deadline, self._sequence + 1)
         ahead_s = sum(
@@ -188,7 +189,7 @@
         return max(wait_s, team_wait_s), team_wait_s > wait_s
 
     def long_limit(self, slot_counts: SlotCounts, now: float) -> int:
-        """Return how many slots long work may hold now."""
+        """Return how many slots long work may use now."""
         if now - self._last_short_at > RESERVE_IDLE_S and not self.count(False):
             return slot_counts.total
         return max(1, int(slot_counts.total * (1.0 - slot_counts.short_reserve)))
--- a/clementinespar/requests/retries.py
+++ b/clementinespar/requests/retries.py
@@ -1,16 +1,15 @@
-"""Budget of retries, so that retries cannot multiply the load of an overload."""
+"""Retry budget, so that retries cannot multiply the load during an overload."""
 
 import collections
 
 WINDOW_S = 10.0
 RETRY_SHARE = 0.1  # retries per request within the window
-# A quiet service may still retry: one request's own attempts fit.
-MIN_RETRIES = 2
+MIN_RETRIES = 2  # lets one request of an idle service use all its attempts
 MAX_ATTEMPTS = 3
 
 
 class RetryBudget:
-    """Counts requests and retries of one service over the last 10 s."""
+    """Limits the retries of one service by its requests within the last `WINDOW_S`."""
 
     _requests: collections.deque[float]  # event-loop times of accepted requests
     _retries: collections.deque[float]  # event-loop times of retries
@@ -20,12 +19,12 @@
         self._retries = collections.deque()
 
     def record_request(self, now: float) -> None:
-        """Count an accepted request."""
+        """Record an accepted request."""
         self._requests.append(now)
         self._drop_expired(now)
 
     def try_acquire(self, now: float) -> bool:
-        """Take one retry from the budget; False if it is empty."""
+        """Use one retry of the budget; False if it is exhausted."""
         if self.remaining(now) < 1:
             return False
         self._retries.append(now)
--- a/clementinespar/requests/router.py
+++ b/clementinespar/requests/router.py
@@ -1,4 +1,4 @@
-"""Ingress of requests: finds the owner of a service's queue and hands over."""
+"""Ingress of requests: routes each one to the owner of its service's queue."""
 
 import asyncio
 import collections
@@ -10,14 +10,13 @@
 from clementinespar.fleet import source as fleet_source
 from clementinespar.requests import model
 
-# Views of the membership differ for a few heartbeats after a change; a third candidate
-# is only right when two nodes stop within that time.
+# Nodes disagree about the membership for a few heartbeats after a change. The third
+# candidate is needed only if two nodes stop within that time.
 MAX_CANDIDATES = 3
-MAX_RECENT_REQUESTS = (
-    4096  # about 2 MB; an operator asks about requests of the last minutes
-)
+# About 2 MB; enough to explain the requests of the last minutes to an operator.
+MAX_RECENT_REQUESTS = 4096
 
-# The owner did not take the request, so another node may.
+# The owner did not accept the request, so another node may.
 _NOT_ACCEPTED_CODES = frozenset(
     {
         codes.ResultCode.OWNER_UNREACHABLE,
@@ -29,25 +28,25 @@
 
 @dataclasses.dataclass(slots=True)
 class _RecentRequest:
-    """What this node knows about one request."""
+    """Routing and outcome of one request, kept for `Router.explain`."""
 
     service: str
     kind: str
     accepted_at: float  # event-loop time
-    owners: list[str]  # nodes that the request was handed to, in order
+    owners: list[str]  # nodes that the request was sent to, in order
     has_started: bool = False  # a byte may have left for a target
     outcome: model.Outcome | None = None
 
 
 class Router:
-    """Takes requests to the owner of their service, on this node or another.
+    """Routes requests to the owner of their service, on this node or another.
 
     Parameters
     ----------
     directory : model.OwnerDirectory
-        Candidates for the owner of a service, best first.
+        Candidates for the owner of a service, in order of preference.
     source : fleet_source.FleetSource
-        The document in force, which states the kinds that may be repeated.
+        The document in force, which declares the repeatable kinds.
     """
 
     _directory: model.OwnerDirectory
@@ -76,7 +75,7 @@
         outcome = model.Outcome(
             model.OutcomeKind.NOT_RUN,
             codes.ResultCode.NOT_READY,
-            "no entry node can own this service now",
+            "no live entry node can own the queue of this service",
         )
         for candidate in list(self._directory.candidates(request.service))[
             :MAX_CANDIDATES
@@ -95,12 +94,12 @@
                 break
             if loop.time() >= request.deadline:
                 break
-        # The ring keeps thousands of outcomes; their answers would fill the memory.
+        # Bodies are dropped: those of thousands of outcomes would fill the memory.
         recent.outcome = dataclasses.replace(outcome, body=b"")
         return outcome
 
     def explain(self, request_id: str) -> dict[str, Any] | None:
-        """Return what is known of a recent request, or None."""
+        """Return the state of a recent request as JSON values, or None if unknown."""
         recent = self._recent_by_request_id.get(request_id)
         if recent is None:
             return None
@@ -134,8 +133,8 @@
             return False
         if outcome.kind is model.OutcomeKind.NOT_RUN:
             return outcome.code in _NOT_ACCEPTED_CODES
-        # The connection to the owner broke before it reported a start. A repeatable
-        # request may run twice, so it is sent again; any other one is unknown.
+        # The connection to the owner broke before the owner reported a start. Only a
+        # repeatable request may be sent again, as it may have run already.
         return (
             outcome.kind is model.OutcomeKind.UNKNOWN
             and outcome.code == codes.ResultCode.OWNER_LOST
--- a/clementinespar/requests/runtimes.py
+++ b/clementinespar/requests/runtimes.py
@@ -1,19 +1,19 @@
-"""Run times of requests, learned by kind from finished and outliving requests."""
+"""Run times by kind, estimated from answered requests and from long-running ones."""
 
 import collections
 import dataclasses
 
-# Enough for a stable median; few enough that a change of behaviour shows after 16
-# requests.
+# Enough for a stable median, and few enough that the median follows a change of
+# behaviour after 16 requests.
 SAMPLES_PER_KIND = 32
-# A kind without newer samples is treated as unknown again, so a wrong estimate cannot
-# keep itself in force by having all its requests refused.
+# A kind without newer samples counts as unknown. Otherwise an estimate that is too high
+# would never be corrected, since all requests of the kind would be refused.
 MAX_AGE_S = 30.0
 
 
 @dataclasses.dataclass(slots=True)
 class _KindSamples:
-    """Newest run times of one kind."""
+    """Most recent run times of one kind."""
 
     samples: collections.deque[float]  # seconds, oldest first
     newest_at: float  # event-loop time of the newest sample
@@ -22,7 +22,7 @@
 
 
 class RunTimes:
-    """Learned run times of one service, by kind."""
+    """Estimated run times of one service, by kind."""
 
     _samples_by_kind: dict[str, _KindSamples]
 
@@ -32,33 +32,34 @@
     def observe(self, kind: str, run_s: float, now: float) -> None:
         """Add the run time of an answered request, or a lower bound of a running one.
 
-        Failures are not observed: a worker that fails fast would make its kinds look
+        Failures must not be added: a worker that fails fast would make its kinds look
         short.
         """
-        learned = self._samples_by_kind.get(kind)
-        if learned is None:
-            learned = _KindSamples(collections.deque(maxlen=SAMPLES_PER_KIND), now)
-            self._samples_by_kind[kind] = learned
-        learned.samples.append(run_s)
-        learned.newest_at = now
-        ordered = sorted(learned.samples)
-        learned.median_s = ordered[len(ordered) // 2]
-        learned.low_s = ordered[len(ordered) // 4]
+        kind_samples = self._samples_by_kind.get(kind)
+        if kind_samples is None:
+            kind_samples = _KindSamples(collections.deque(maxlen=SAMPLES_PER_KIND), now)
+            self._samples_by_kind[kind] = kind_samples
+        kind_samples.samples.append(run_s)
+        kind_samples.newest_at = now
+        ordered = sorted(kind_samples.samples)
+        kind_samples.median_s = ordered[len(ordered) // 2]
+        kind_samples.low_s = ordered[len(ordered) // 4]
 
     def expected_s(self, kind: str, declared_s: float) -> float:
         """Return the median run time, or the declared one before the first sample."""
-        learned = self._samples_by_kind.get(kind)
-        return declared_s if learned is None else learned.median_s
+        kind_samples = self._samples_by_kind.get(kind)
+        return declared_s if kind_samples is None else kind_samples.median_s
 
     def min_expected_s(self, kind: str, now: float) -> float:
-        """Return a run time that most requests of a kind exceed; 0 when not known."""
-        learned = self._samples_by_kind.get(kind)
-        if learned is None or now - learned.newest_at > MAX_AGE_S:
+        """Return the lower quartile, which most requests exceed; 0 if not known."""
+        kind_samples = self._samples_by_kind.get(kind)
+        if kind_samples is None or now - kind_samples.newest_at > MAX_AGE_S:
             return 0.0
-        return learned.low_s
+        return kind_samples.low_s
 
     def medians_by_kind(self) -> dict[str, float]:
-        """Return the learned medians in seconds."""
+        """Return the median run times in seconds."""
         return {
-            kind: learned.median_s for kind, learned in self._samples_by_kind.items()
+            kind: kind_samples.median_s
+            for kind, kind_samples in self._samples_by_kind.items()
         }
--- a/clementinespar/requests/selection.py
+++ b/clementinespar/requests/selection.py
@@ -1,4 +1,4 @@
-"""Which waiting request starts next, and at which target."""
+"""Selection of the request that starts next, and of its target."""
 
 import collections
 import math
@@ -7,8 +7,8 @@
 from clementinespar.documents import model as document_model
 from clementinespar.requests import flights, queueing, target_pool
 
-# A probe puts a request at risk. One that must not repeat is used only if no other one
-# came for this long.
+# A probe puts its request at risk. A request that is not repeatable is used as a probe
+# only if the probe has been due for this long.
 PROBE_OVERDUE_S = 10.0
 
 
@@ -17,7 +17,7 @@
     usable: Sequence[target_pool.PoolMember],
     now: float,
 ) -> bool:
-    """Whether any target may take a request now."""
+    """Whether any target may receive a request now."""
     return any(
         member.free
         and (
@@ -51,7 +51,7 @@
 ) -> target_pool.PoolMember | None:
     """Return the least loaded target, or an ejected one that is due for a probe.
 
-    Targets of another pool are used only when no own target can be.
+    Lent targets are used only if no target of the service's own pool can be used.
     """
     best: target_pool.PoolMember | None = None
     best_key = (True, math.inf, math.inf)
@@ -60,7 +60,7 @@
         if not member.free or host_id in in_flight.tried_host_ids:
             continue
         if service.ejections.is_ejected(host_id):
-            # Requests that must not repeat probe only when nothing else does.
+            # A request that is not repeatable probes only if the probe is overdue.
             probe_at = now if in_flight.is_repeatable else now - PROBE_OVERDUE_S
             if service.ejections.is_probe_due(host_id, probe_at):
                 return member
@@ -79,7 +79,7 @@
     document: document_model.Document,
     declared: document_model.Service,
 ) -> queueing.SlotCounts:
-    """Return how the slots of a service are shared out at this moment."""
+    """Return the slots of a service and their current use."""
     in_use_by_team: dict[str, int] = collections.Counter(
         use.team for use in service.uses if use.team is not None
     )
--- a/clementinespar/requests/server.py
+++ b/clementinespar/requests/server.py
@@ -1,7 +1,7 @@
 """HTTP server for callers.
 
 Every answer states the outcome in ``X-Outcome`` and the result code in
-``X-Result-Code``. A request that is refused here has not been handed to an owner, so it
+``X-Result-Code``. A request that is refused here has not been sent to an owner, so it
 certainly did not run.
 """
 
@@ -29,12 +29,12 @@
 MAX_ID_LENGTH = 120  # as in the claims' records
 MAX_TEAM_LENGTH = 80
 _ID_CHARACTERS = frozenset(string.ascii_letters + string.digits + "-_.:")
-# Bodies that may be held at once. Connections are limited in number only, and a node
-# has 128 MB for everything.
+# Most bytes of bodies in memory at once. Connections are limited only in number, and a
+# node has 128 MB for everything.
 MAX_BUFFERED_BYTES = 32 * 1024 * 1024
-_MAX_RUN_MS = 86_400_000  # a day; services set a lower limit for deadlines
-# A refused body is read and dropped up to this size, so that the caller can read the
-# refusal; closing at once would reset the connection before that.
+_MAX_RUN_MS = 86_400_000  # one day; services set lower limits for deadlines
+# The body of a refused request is read and discarded up to this size, so that the
+# caller can read the refusal; closing at once would reset the connection before that.
 _MAX_DISCARDED_BODY_BYTES = 64 * 1024 * 1024
 
 _STATUS_BY_NOT_RUN_CODE = {
@@ -52,9 +52,9 @@
 
 
 class _RefusedError(Exception):
-    """A request that is refused before it is handed to the router."""
+    """A request that is refused before it reaches the router."""
 
-    outcome: model.Outcome  # what the caller is told
+    outcome: model.Outcome  # written to the caller
 
     def __init__(self, code: codes.ResultCode, reason: str) -> None:
         super().__init__(reason)
@@ -62,7 +62,7 @@
 
 
 class CallersServer:
-    """A running server; made by `make_server`."""
+    """A running HTTP server for callers; created by `make_server`."""
 
     port: int  # TCP port in use
     router: request_router.Router
@@ -70,9 +70,9 @@
     settings: options.CallersSettings
     is_draining: bool
     _request_ids: dict[object, str]  # request id of each handler in flight
-    _bytes_by_handler: dict[object, int]  # size of the body as far as it was read
-    _buffered_bytes: int  # sum of them
-    _idle: asyncio.Event  # no answer is in flight
+    _bytes_by_handler: dict[object, int]  # bytes of the body read so far
+    _buffered_bytes: int  # sum over all handlers
+    _idle: asyncio.Event  # set while no request is in flight
 
     def __init__(
         self,
@@ -92,22 +92,22 @@
         self._idle.set()
 
     def begin_drain(self) -> None:
-        """Refuse new requests as not run; answers in flight are finished."""
+        """Refuse new requests as not run; requests in flight are finished."""
         self.is_draining = True
 
     async def wait_idle(self, timeout_s: float) -> list[str]:
-        """Wait for answers in flight; return the request ids of those that remain."""
+        """Wait for requests in flight; return the request ids of those that remain."""
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._idle.wait(), timeout_s)
         return sorted(self._request_ids.values())
 
     def begin_request(self, handler: object, request_id: str) -> None:
-        """Note that a handler has an answer to give."""
+        """Add a handler whose request is in flight."""
         self._request_ids[handler] = request_id
         self._idle.clear()
 
     def reserve_body_bytes(self, handler: object, size: int) -> bool:
-        """Count bytes of a body; False if the node holds too many."""
+        """Count bytes of a body; False, without counting, if the limit is exceeded."""
         if self._buffered_bytes + size > MAX_BUFFERED_BYTES:
             return False
         self._bytes_by_handler[handler] = self._bytes_by_handler.get(handler, 0) + size
@@ -115,7 +115,7 @@
         return True
 
     def end_request(self, handler: object) -> None:
-        """Note that a handler's answer was written or its caller left."""
+        """Remove a handler after its answer was written or its caller left."""
         self._request_ids.pop(handler, None)
         self._buffered_bytes -= self._bytes_by_handler.pop(handler, 0)
         if not self._request_ids:
@@ -128,10 +128,10 @@
     source: fleet_source.FleetSource,
     settings: options.CallersSettings,
 ) -> AsyncIterator[CallersServer]:
-    """Serve callers; at the end, stop listening and finish the answers in flight.
+    """Serve callers; on exit, stop listening and finish the requests in flight.
 
-    The end waits as long as answers are in flight. A caller that wants a limit calls
-    `CallersServer.wait_idle` first and cancels.
+    The exit waits for these requests without a time limit. To limit it, call
+    `CallersServer.wait_idle` first and cancel the task.
     """
     server = CallersServer(router, source, settings)
     application = tornado.web.Application(
@@ -191,17 +191,17 @@
 
 
 class _JsonHandler(tornado.web.RequestHandler):
-    """Answers with outcomes; errors are JSON too."""
+    """Base of handlers that answer with outcomes; errors are JSON."""
 
     server: CallersServer
-    written: "asyncio.Future[None] | None"  # done once the answer has left
+    written: "asyncio.Future[None] | None"  # done once the answer has been sent
 
     def initialize(self, server: CallersServer) -> None:
         self.server = server
         self.written = None
 
     def write_outcome(self, request_id: str, outcome: model.Outcome) -> None:
-        """Write an outcome as the whole answer."""
+        """Write an outcome as the complete answer."""
         self.set_header("X-Request-Id", request_id)
         self.set_header("X-Outcome", outcome.kind.value)
         self.set_header("X-Result-Code", str(int(outcome.code)))
@@ -225,13 +225,13 @@
         self.written = self.finish(json.dumps(error))
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Write what tornado refuses or what failed here."""
+        """Write an error that tornado raises or an exception of a handler."""
         error = kwargs.get("exc_info", (None, None, None))[1]
         code = codes.ResultCode.INTERNAL_ERROR
         reason = "internal error"
         if isinstance(error, tornado.web.HTTPError) and status_code < 500:
             code = codes.ResultCode.REQUEST_INVALID
-            reason = f"{self.request.method} {self.request.path} is not possible"
+            reason = f"{self.request.method} {self.request.path} is not supported"
         self.set_header("X-Result-Code", str(int(code)))
         self.set_header("Content-Type", "application/json")
         self.finish(
@@ -245,7 +245,7 @@
         outcome = model.Outcome(
             model.OutcomeKind.NOT_RUN,
             codes.ResultCode.SERVICE_UNKNOWN,
-            "requests go to /v1/SERVICE/KIND",
+            "unknown path; requests go to /v1/SERVICE/KIND",
         )
         self.write_outcome(_request_id_of(self.request.headers), outcome)
 
@@ -254,14 +254,14 @@
 class _RequestHandler(_JsonHandler):
     SUPPORTED_METHODS = ("POST",)
 
-    chunks: list[bytes]  # body as far as it was read
-    size: int  # bytes in chunks
+    chunks: list[bytes]  # parts of the body read so far
+    size: int  # bytes of the body read so far
     request_id: str
     accepted_at: float  # event-loop time at which the headers were read
-    task: "asyncio.Task[model.Outcome] | None"  # the request at the router
+    task: "asyncio.Task[model.Outcome] | None"  # runs `Router.handle`
 
     def prepare(self) -> None:
-        """Refuse what the headers already show to be wrong."""
+        """Refuse a request whose headers are invalid, before its body is read."""
         self.chunks = []
         self.size = 0
         self.task = None
@@ -286,7 +286,7 @@
             )
         if self.server.source.state.documents.production is None:
             raise _RefusedError(
-                codes.ResultCode.NOT_READY, "no document is in force on this node yet"
+                codes.ResultCode.NOT_READY, "this node has no document in force yet"
             )
         check_headers(self.request.headers)
 
@@ -299,7 +299,7 @@
             )
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep a part of the body within the limit."""
+        """Append a part of the body; refuses a request whose body is too large."""
         if self._finished:
             return
         self.size += len(chunk)
@@ -308,7 +308,8 @@
             self._check_size(self.size)
             if not self.server.reserve_body_bytes(self, len(chunk)):
                 raise _RefusedError(
-                    codes.ResultCode.QUEUE_FULL, "this node holds too many requests"
+                    codes.ResultCode.QUEUE_FULL,
+                    "the request bodies in this node's memory reach the limit",
                 )
         except _RefusedError as error:
             self.chunks.clear()
@@ -377,7 +378,8 @@
         declared = None if document is None else document.services.get(service)
         if declared is None:
             raise _RefusedError(
-                codes.ResultCode.SERVICE_UNKNOWN, f"no service {service}"
+                codes.ResultCode.SERVICE_UNKNOWN,
+                f"the document has no service {service}",
             )
         headers = self.request.headers
         deadline_ms = _parse_count(headers, "X-Deadline-Ms", declared.max_deadline_ms)
@@ -400,12 +402,12 @@
 
 
 def check_headers(headers: tornado.httputil.HTTPHeaders) -> None:
-    """Raise for headers that are wrong whatever the service is."""
+    """Raise `_RefusedError` for headers that are invalid for every service."""
     request_id = headers.get("X-Request-Id")
     if request_id is not None and not _is_id(request_id):
         raise _RefusedError(
             codes.ResultCode.REQUEST_INVALID,
-            f"X-Request-Id must be 1 to {MAX_ID_LENGTH} letters, digits or -_.:",
+            f"X-Request-Id must have 1 to {MAX_ID_LENGTH} letters, digits or -_.:",
         )
     team = headers.get("X-Team")
     if team is not None and not (0 < len(team) <= MAX_TEAM_LENGTH):
@@ -441,6 +443,6 @@
 
 
 def _request_id_of(headers: tornado.httputil.HTTPHeaders) -> str:
-    """Return the caller's request id; a new one if it is missing or not valid."""
+    """Return the caller's request id, or a new one if it is missing or not valid."""
     request_id = headers.get("X-Request-Id", "")
     return request_id if _is_id(request_id) else identifiers.new_id()
--- a/clementinespar/requests/slots.py
+++ b/clementinespar/requests/slots.py
@@ -1,29 +1,30 @@
 """Exact count of the slots in use at each target.
 
 A slot is in use by an attempt of this node, or it is in doubt: the target may still run
-something that this node no longer follows, such as an attempt that timed out or work of
-a previous owner. Doubt ends only by what the target's ``/status`` says.
+work that this node does not track, such as an attempt that timed out or work of a
+previous owner. Only the target's ``/status`` resolves slots in doubt.
 """
 
 import dataclasses
 
-# Attempts sent or answered within this time of a status read may or may not be part of
-# it; the longest one-way latency between data centres of a region is far below.
+# Attempts sent or answered within this time of a status read may or may not be included
+# in it. The longest one-way latency between data centres of a region is far below this.
 SETTLE_S = 0.05
-# Under constant short work no attempt spans a status read by SETTLE_S on both sides.
-# When doubt has lasted for HOLD_AFTER_S, the target gets no new work for HOLD_S before
-# a read, so that most attempts end and what it still runs can be told apart.
+# Under constant short work, no attempt spans a status read by SETTLE_S on both sides,
+# so reads cannot resolve slots in doubt. If some remain for PAUSE_AFTER_S, the target
+# gets no new work for PAUSE_S before a read: most attempts then end, and the busy slots
+# that it still reports are mostly those of untracked work.
 PAUSE_AFTER_S = 5.0
 PAUSE_S = 0.2
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class SlotUse:
-    """One attempt that holds a slot."""
+    """One attempt that occupies a slot."""
 
     request_id: str
     started_at: float  # event-loop time
-    is_long: bool = False  # of the long class, or has outlived the short one
+    is_long: bool = False  # in the long class, or has exceeded the limit of short work
     team: str | None = None
     is_released: bool = False
     is_borrowed: bool = False  # by a service of another pool
@@ -31,14 +32,14 @@
 
 @dataclasses.dataclass(slots=True)
 class TargetSlots:
-    """Slots of one target, as its queue owner counts them."""
+    """Slots of one target, as counted by the owner of its queue."""
 
     host_id: str
-    slots: int  # most slots in use at once
+    slots: int  # limit on the slots in use at once
     uses: dict[int, SlotUse] = dataclasses.field(default_factory=dict)  # by identity
-    reported_slots: int = 1024  # slots that the target itself stated
-    in_doubt: int = 0  # slots that the target may still use for something else
-    in_doubt_since: float = 0.0  # event-loop time of the newest doubt
+    reported_slots: int = 1024  # slots that the target itself reported
+    in_doubt: int = 0  # slots that may be occupied by work this node does not track
+    in_doubt_since: float = 0.0  # event-loop time at which slots were last added to it
     is_status_known: bool = (
         False  # the target's own status was read since ownership began
     )
@@ -47,7 +48,7 @@
     last_used_at: float = 0.0  # event-loop time of the newest attempt
     read_began_at: float = 0.0  # event-loop time of the newest status read
     is_paused: bool = False  # gets no new work until the status read ends
-    paused_at: float = 0.0  # event-loop time of the newest hold
+    paused_at: float = 0.0  # event-loop time at which the newest pause ended
 
     @property
     def in_use(self) -> int:
@@ -56,7 +57,7 @@
 
     @property
     def free(self) -> int:
-        """Slots that new work may use."""
+        """Slots that are free for new work."""
         if self.is_paused or not self.is_status_known:
             return 0
         return max(0, self.slots - self.in_use)
@@ -74,14 +75,14 @@
         now: float,
         is_borrowed: bool = False,
     ) -> SlotUse:
-        """Take a slot for an attempt."""
+        """Acquire a slot for an attempt."""
         use = SlotUse(request_id, now, is_long, team, is_borrowed=is_borrowed)
         self.uses[id(use)] = use
         self.last_used_at = now
         return use
 
     def release(self, use: SlotUse, is_certain: bool, now: float) -> None:
-        """Give a slot back; it stays in doubt unless the target is certainly done."""
+        """Release a slot; it becomes in doubt unless the target certainly finished."""
         if use.is_released:
             return
         use.is_released = True
@@ -90,12 +91,12 @@
             self.add_in_doubt(1, now)
 
     def add_in_doubt(self, count: int, now: float) -> None:
-        """Count slots as in use by something that this node does not follow."""
+        """Count slots as occupied by work that this node does not track."""
         self.in_doubt = min(self.slots, self.in_doubt + count)
         self.in_doubt_since = now
 
     def needs_pause(self, now: float) -> bool:
-        """Whether ordinary reads have not ended the doubt for some time."""
+        """Whether status reads without a pause have not resolved the slots in doubt."""
         return (
             self.is_status_known
             and self.in_doubt > 0
@@ -109,7 +110,7 @@
     def apply_status(
         self, busy_slots: int, certain_uses: int, now: float, is_first: bool
     ) -> None:
-        """Bring the doubt in line with the target's own count.
+        """Update the slots in doubt from the target's own count.
 
         Parameters
         ----------
@@ -120,11 +121,12 @@
         now : float
             Event-loop time.
         is_first : bool
-            The first read since ownership began: work of others may be running.
+            Whether this is the first read since ownership began or the slots were
+            invalidated, so that the target may run work of other nodes.
         """
         max_in_doubt = max(0, busy_slots - certain_uses)
-        # The target may have given its count before an attempt reached it that has been
-        # in doubt since; the next read tells.
+        # The target's count may precede the arrival of an attempt whose slot came into
+        # doubt during the read; the next read includes it.
         is_newly_in_doubt = self.in_doubt_since >= self.read_began_at
         if is_first:
             min_in_doubt = self.in_doubt if is_newly_in_doubt else 0
--- a/clementinespar/requests/target_pool.py
+++ b/clementinespar/requests/target_pool.py
@@ -1,4 +1,4 @@
-"""Targets of the owned services, with the exact count of their slots."""
+"""Targets of the owned services, with the exact counts of their slots."""
 
 import asyncio
 import dataclasses
@@ -9,10 +9,10 @@
 from clementinespar.requests import model, slots
 
 STATUS_TIMEOUT_S = 1.0
-# Time between two status reads of a target whose slots are in doubt or that is silent.
+# Time between two status reads of a target that has slots in doubt or is unresponsive.
 STATUS_INTERVAL_S = 0.5
 LEAVING_WATCH_INTERVAL_S = 2.0
-LEAVING_WATCH_S = 1800.0  # a host that is gone for longer starts as a new one
+LEAVING_WATCH_S = 1800.0  # a host that is absent for longer counts as a new one
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 
     @property
     def free(self) -> int:
-        """Slots that the service may take now."""
+        """Slots that the service may acquire now."""
         if self.lend_limit is None:
             return self.slots.free
         return max(0, min(self.slots.free, self.lend_limit - self.slots.borrowed))
@@ -47,17 +47,19 @@
         Targets that may receive new work.
     transport : model.TargetTransport
         Reads the targets' own status.
-    on_slots : callable
-        Called when targets may have free slots.
+    on_free_slots : callable
+        Called when a status read ended, so that targets may have more free slots.
     """
 
     slots_by_host_id: dict[str, slots.TargetSlots]
     _directory: model.TargetDirectory
     _transport: model.TargetTransport
     _on_free_slots: Callable[[], None]
-    _host_ids_by_listing: dict[str, set[str]]  # targets of a service at the last look
-    _leaving_host_ids: set[str]  # targets whose statement to leave is being watched
-    _tasks: set[asyncio.Task[Any]]  # background tasks, kept so that they run on
+    # Hosts in the newest list of a service's own targets (key: its name) or of the
+    # targets lent to it.
+    _host_ids_by_listing: dict[str, set[str]]
+    _leaving_host_ids: set[str]  # leaving targets that are polled until they return
+    _tasks: set[asyncio.Task[Any]]  # references that protect tasks from collection
 
     def __init__(
         self,
@@ -76,9 +78,9 @@
     def members(
         self, service: str, declared: document_model.Service, now: float
     ) -> list[PoolMember]:
-        """Return the targets in the directory; reads their status where needed.
+        """Return the service's own targets; starts status reads where needed.
 
-        A target has no free slot until its status was read once.
+        A target has no free slots until its status has been read once.
         """
         targets = self._directory.targets_of(service)
         return [
@@ -95,7 +97,7 @@
         pool = document.lent_pool(service)
         if pool is None:
             return []
-        # The lender's own declaration counts for its targets.
+        # The limits of a target are those of its own pool's services.
         declared = next(
             (other for other in document.services.values() if other.pool == pool),
             document.services[service],
@@ -112,17 +114,18 @@
     def _slots_of(
         self,
         service: str,
-        use: str,
+        listing: str,
         targets: Sequence[model.Target],
         declared: document_model.Service,
         now: float,
     ) -> list[tuple[model.Target, slots.TargetSlots]]:
-        """Return the slots of targets; reads their status where needed."""
+        """Return targets with their slots; starts status reads where needed."""
         host_ids = {target.host_id for target in targets}
-        # Slots are read again when a target returns: it may have rebooted.
-        self.invalidate_slots(self._host_ids_by_listing.get(use, set()) - host_ids)
-        self._host_ids_by_listing[use] = host_ids
-        known = []
+        # A target that left the list may have rebooted when it returns, so its status
+        # is read again.
+        self.invalidate_slots(self._host_ids_by_listing.get(listing, set()) - host_ids)
+        self._host_ids_by_listing[listing] = host_ids
+        targets_with_slots = []
         for target in targets:
             target_slots = self.slots_by_host_id.get(target.host_id)
             if target_slots is None:
@@ -142,16 +145,16 @@
             ):
                 target_slots.is_reading = True
                 self._spawn(self._read_status(service, target, target_slots))
-            known.append((target, target_slots))
-        return known
+            targets_with_slots.append((target, target_slots))
+        return targets_with_slots
 
     def invalidate_slots(self, host_ids: Iterable[str]) -> None:
-        """Use targets again only after their busy slots were read."""
+        """Give targets no new work until their status has been read again."""
         for host_id in host_ids:
             self.slots_by_host_id[host_id].is_status_known = False
 
     def mark_leaving(self, target: model.Target, service: str) -> None:
-        """Send nothing more to a target that leaves, until it says otherwise."""
+        """Exclude a target that is leaving until it reports that it is not."""
         self._directory.mark_leaving(target)
         if target.host_id not in self._leaving_host_ids:
             self._leaving_host_ids.add(target.host_id)
@@ -160,7 +163,7 @@
     async def _read_status(
         self, service: str, target: model.Target, target_slots: slots.TargetSlots
     ) -> None:
-        """Read a target's busy slots and bring the doubt in line with them."""
+        """Read a target's status and update its slots in doubt."""
         loop = asyncio.get_running_loop()
         is_first = not target_slots.is_status_known
         target_slots.is_paused = target_slots.needs_pause(loop.time())
@@ -183,17 +186,17 @@
             return
         if status.is_leaving:
             self.mark_leaving(target, service)
-        certain = sum(not use.is_released for use in before)
+        certain = sum(not listing.is_released for listing in before)
         target_slots.reported_slots = max(1, status.slots)
         target_slots.apply_status(status.busy_slots, certain, loop.time(), is_first)
         target_slots.is_status_known = True
         self._on_free_slots()
 
     async def _watch_leaving(self, target: model.Target, service: str) -> None:
-        """Ask a leaving target until it has rebooted.
+        """Poll a leaving target until it has rebooted.
 
-        The directory learns of reboots from the fold and the host list; this covers
-        a reboot that is faster than the host list.
+        The directory sees reboots through the fold and the host list; polling covers a
+        reboot that ends before the host list has shown it.
         """
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + LEAVING_WATCH_S
--- a/clementinespar/requests/targets.py
+++ b/clementinespar/requests/targets.py
@@ -1,7 +1,7 @@
 """Which targets may receive new work.
 
 Combines the fold (pool membership, hosts out, failed hosts), the platform's host list
-and what targets say about themselves.
+and the targets' own reports that they are leaving.
 """
 
 import dataclasses
@@ -14,10 +14,10 @@
 
 @dataclasses.dataclass(slots=True)
 class _LeavingMark:
-    """A target's own statement that it is leaving."""
+    """A target's own report that it is leaving."""
 
-    host_revision: int  # revision of the host in the fold at the statement
-    was_absent: bool = False  # the host was since seen as leaving or missing
+    host_revision: int  # revision of the host in the fold at the time of the report
+    was_absent: bool = False  # since then, the host was unavailable, leaving or missing
 
 
 class FleetTargetDirectory:
@@ -29,12 +29,12 @@
         Pool membership, hosts out and failed hosts.
     host_list : platform_service.HostListSource
         Addresses, and hosts that the platform reports as leaving. An old list is still
-        used: the request path continues with what targets answer.
+        used: the answers of the targets themselves correct it.
     """
 
     _source: fleet_source.FleetSource
     _host_list: platform_service.HostListSource
-    # Targets that stated themselves that they leave; the host list lags behind this.
+    # Targets that reported that they are leaving; the host list lags behind this.
     _marks_by_host_id: dict[str, _LeavingMark]
 
     def __init__(
@@ -73,8 +73,8 @@
                     mark.was_absent = True
                 continue
             if mark is not None:
-                # The list may be older than the statement, so "live" alone proves
-                # nothing; a return after an absence does.
+                # The list may be older than the report, so "live" does not prove that
+                # the target is back; a new revision or an earlier absence does.
                 if not mark.was_absent and mark.host_revision == host.revision:
                     continue
                 del self._marks_by_host_id[host.host_id]
@@ -90,11 +90,11 @@
         return targets
 
     def mark_leaving(self, target: model.Target) -> None:
-        """Exclude a target that said it is leaving, until it has rebooted."""
+        """Exclude a target that reports that it is leaving, until it has rebooted."""
         host = self._source.state.pools.hosts_by_id.get(target.host_id)
         if host is not None and target.host_id not in self._marks_by_host_id:
             self._marks_by_host_id[target.host_id] = _LeavingMark(host.revision)
 
     def clear_leaving(self, target: model.Target) -> None:
-        """Include a target again that says it is no longer leaving."""
+        """Include a target again that reports that it is no longer leaving."""
         self._marks_by_host_id.pop(target.host_id, None)
--- a/clementinespar/requests/transport.py
+++ b/clementinespar/requests/transport.py
@@ -1,7 +1,7 @@
 """Connections to targets through libcurl.
 
 An attempt counts as not started only in two cases: libcurl never reached the point of
-sending on a connection, or the target refused with its promise that nothing started.
+sending on a connection, or the target refused it and stated that nothing had started.
 """
 
 import asyncio
@@ -22,17 +22,15 @@
 from clementinespar import codes, curl_clients
 from clementinespar.requests import model
 
-# tornado's default of 10 would queue requests behind each other inside the client.
-MAX_CLIENTS = 1024
-CONNECT_TIMEOUT_S = 1.0  # data centres are 1 ms apart; three SYNs fit
+MAX_CLIENTS = 1024  # tornado's default of 10 would queue requests inside the client
+CONNECT_TIMEOUT_S = 1.0  # data centres are 1 ms apart; leaves time for three SYNs
 KEEPALIVE_IDLE_S = 5
 KEEPALIVE_INTERVAL_S = 2
 KEEPALIVE_PROBES = 3  # a dead idle connection is closed after 11 s
-# Unacknowledged bytes close the connection after this time, long before the 15 minutes
-# of the kernel's default.
+# A connection with unacknowledged bytes is closed after this time, instead of the
+# kernel's default of 15 minutes.
 USER_TIMEOUT_MS = 10_000
-# Idle connections are dropped after this time, so a connection that went silent while
-# idle is not kept for later requests.
+# Connections are not reused after this idle time, as they may have broken unnoticed.
 MAX_IDLE_S = 30
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 
@@ -42,7 +40,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Progress:
-    """How far libcurl got with one attempt."""
+    """Progress of one attempt inside libcurl."""
 
     may_have_sent: bool = False  # set immediately before the first byte is sent
 
@@ -53,12 +51,12 @@
     Parameters
     ----------
     connections_per_target : int
-        Most connections to one target at any moment.
+        Limit on the connections to one target at any moment.
     """
 
     _client: curl_httpclient.CurlAsyncHTTPClient
-    # Targets whose pooled connections may be silent: loop time until which every
-    # attempt opens a connection of its own.
+    # Targets whose pooled connections may be broken unnoticed: event-loop time until
+    # which every attempt opens a dedicated connection.
     _fresh_until_by_endpoint: dict[tuple[str, int], float]
 
     def __init__(self, connections_per_target: int = 64) -> None:
@@ -70,7 +68,7 @@
         self._client._multi.setopt(
             pycurl.M_MAX_HOST_CONNECTIONS, connections_per_target
         )
-        # libcurl's default is four for each running transfer, which closes most of the
+        # libcurl's default is four connections per running transfer, which closes most
         # pooled connections whenever few requests run.
         self._client._multi.setopt(pycurl.M_MAXCONNECTS, MAX_CLIENTS)
         self._fresh_until_by_endpoint = {}
@@ -141,17 +139,18 @@
         timeout_s: float,
         repeatable: bool,
     ) -> model.Attempt:
-        if timeout_s < 0.001:  # libcurl takes 0 ms for no limit
+        if timeout_s < 0.001:  # libcurl treats 0 ms as no limit
             return model.Attempt(
                 model.AttemptKind.NOT_STARTED,
                 codes.ResultCode.DEADLINE_PASSED,
-                "no time was left for the attempt",
+                "the deadline left no time for the attempt",
             )
         loop = asyncio.get_running_loop()
         endpoint = (target.address, target.port)
         fresh_until = self._fresh_until_by_endpoint.get(endpoint, 0.0)
-        # libcurl re-sends a POST by itself when a reused connection closes before the
-        # first byte of the answer, so what must not repeat needs its own connection.
+        # libcurl sends a POST again by itself if a reused connection closes before the
+        # first byte of the answer, so a request that is not repeatable needs a
+        # dedicated connection.
         is_fresh = not repeatable or loop.time() < fresh_until
         progress = _Progress()
         headers = {
@@ -198,7 +197,7 @@
 async def open_transport(
     connections_per_target: int = 64,
 ) -> AsyncIterator[CurlTargetTransport]:
-    """Open a transport and close its connections at the end."""
+    """Open a transport; close its connections on exit."""
     transport = CurlTargetTransport(connections_per_target)
     try:
         yield transport
@@ -207,7 +206,7 @@
 
 
 def _quote(segment: str) -> str:
-    # libcurl would resolve dot segments, so dots are escaped in them.
+    # libcurl would resolve dot segments, so their dots are escaped.
     quoted = urllib.parse.quote(segment, safe="")
     return quoted.replace(".", "%2E") if quoted.strip(".") == "" else quoted
 
@@ -226,10 +225,10 @@
     curl.setopt(pycurl.SOCKOPTFUNCTION, _set_socket_options)
     curl.setopt(pycurl.HTTP_VERSION, pycurl.CURL_HTTP_VERSION_1_1)
     curl.setopt(pycurl.FRESH_CONNECT, 1 if is_fresh else 0)
-    # Kept open, such connections would fill the connection limit of the target.
+    # Dedicated connections that stay open would exhaust the target's connection limit.
     curl.setopt(pycurl.FORBID_REUSE, 1 if is_fresh else 0)
     curl.setopt(pycurl.MAXAGE_CONN, MAX_IDLE_S)
-    # Environment variables must not send work to a proxy.
+    # Ignores proxy settings in environment variables.
     curl.setopt(pycurl.PROXY, "")
 
 
@@ -259,7 +258,7 @@
         return model.Attempt(
             model.AttemptKind.UNKNOWN,
             codes.ResultCode.TARGET_SILENT,
-            "the target did not answer in time",
+            "the target did not answer within the timeout",
         )
     return model.Attempt(
         model.AttemptKind.UNKNOWN,
@@ -289,7 +288,7 @@
             status=response.code,
             is_leaving=is_leaving,
         )
-    # Without a length, a broken connection looks like the end of the answer.
+    # Without a length, a broken connection cannot be told from the end of the answer.
     is_whole = (
         "Content-Length" in headers
         or headers.get("Transfer-Encoding", "").lower() == "chunked"
