--- a/clementinespar/requests/admission.py
+++ b/clementinespar/requests/admission.py
@@ -35,7 +35,7 @@
         The document in force and its entry for the service.
     has_targets : bool
         Whether the service has any target, own or lent.
-    held_bytes : int
+    buffered_bytes : int
         Size of the bodies of all requests that wait or are in flight.
     now : float
         Event-loop time.
@@ -47,7 +47,7 @@
         )
     if not has_targets:
         return model.not_run(
-            codes.ResultCode.NO_TARGET, f"no target serves {service.name} at present"
+            codes.ResultCode.NO_TARGET, f"no target serves {service.name} now"
         )
     min_expected_s = service.run_times.min_expected_s(entry.kind, now)
     if now + min_expected_s > entry.deadline:
--- a/clementinespar/requests/claiming.py
+++ b/clementinespar/requests/claiming.py
@@ -33,7 +33,7 @@
 
     _source: fleet_source.FleetSource
     _claims: claim_service.ClaimService
-    _tasks: set[asyncio.Task[Any]]  # references that protect tasks from collection
+    _tasks: set[asyncio.Task[Any]]  # prevents garbage collection of running tasks
 
     def __init__(
         self, source: fleet_source.FleetSource, claims: claim_service.ClaimService
--- a/clementinespar/requests/dispatcher.py
+++ b/clementinespar/requests/dispatcher.py
@@ -84,7 +84,7 @@
     _in_flight_by_request_id: dict[str, flights.InFlightRequest]
     # Outcomes of requests that failed on several targets, oldest first.
     _refused_by_request_id: collections.OrderedDict[str, model.Outcome]
-    _tasks: set[asyncio.Task[Any]]  # references that protect tasks from collection
+    _tasks: set[asyncio.Task[Any]]  # prevents garbage collection of running tasks
     _buffered_bytes: int  # bodies of all requests that wait or are in flight
     _is_draining: bool
     _idle: asyncio.Event  # set while no request is queued or in flight
@@ -323,8 +323,8 @@
             outcome = await self._claim_and_send(in_flight)
         except Exception:
             _log.exception("request {} failed", in_flight.request.request_id)
-            make = model.unknown if in_flight.has_started else model.not_run
-            outcome = make(codes.ResultCode.INTERNAL_ERROR, "internal error")
+            make_outcome = model.unknown if in_flight.has_started else model.not_run
+            outcome = make_outcome(codes.ResultCode.INTERNAL_ERROR, "internal error")
         if in_flight.is_claimed and outcome.kind is model.OutcomeKind.NOT_RUN:
             await self._claimer.release(in_flight.request)
         loop = asyncio.get_running_loop()
@@ -783,7 +783,7 @@
     def _has_queued_requests(
         self, document: document_model.Document, pool: str | None
     ) -> bool:
-        """Whether a pool's own services have queued requests, so that it lends none."""
+        """Whether services of a pool have queued requests; it then lends no slots."""
         return any(
             len(service.queue) > 0
             for name, service in self._services_by_name.items()
@@ -796,7 +796,7 @@
         self._dispatch_all(skipped=service)
 
     def _dispatch_all(self, skipped: flights.ServiceState | None = None) -> None:
-        """Assign free slots to the queued requests of all services but one."""
+        """Assign free slots to the queued requests of all services but ``skipped``."""
         for service in list(self._services_by_name.values()):
             if len(service.queue) and service is not skipped:
                 self._dispatch_queued(service)
--- a/clementinespar/requests/slots.py
+++ b/clementinespar/requests/slots.py
@@ -40,9 +40,7 @@
     reported_slots: int = 1024  # slots that the target itself reported
     in_doubt: int = 0  # slots that may be occupied by work this node does not track
     in_doubt_since: float = 0.0  # event-loop time at which slots were last added to it
-    is_status_known: bool = (
-        False  # the target's own status was read since ownership began
-    )
+    is_status_known: bool = False  # the status was read since ownership began
     is_reading: bool = False  # a status read is in flight
     next_read_at: float = 0.0  # event-loop time before which no status is read
     last_used_at: float = 0.0  # event-loop time of the newest attempt
--- a/clementinespar/requests/target_pool.py
+++ b/clementinespar/requests/target_pool.py
@@ -21,9 +21,8 @@
 
     target: model.Target
     slots: slots.TargetSlots  # shared by all services that may use the target
-    lend_limit: int | None = (
-        None  # most borrowed slots; None for the service's own pool
-    )
+    # Most borrowed slots; None for a target of the service's own pool.
+    lend_limit: int | None = None
 
     @property
     def is_lent(self) -> bool:
@@ -59,7 +58,7 @@
     # targets lent to it.
     _host_ids_by_listing: dict[str, set[str]]
     _leaving_host_ids: set[str]  # leaving targets that are polled until they return
-    _tasks: set[asyncio.Task[Any]]  # references that protect tasks from collection
+    _tasks: set[asyncio.Task[Any]]  # prevents garbage collection of running tasks
 
     def __init__(
         self,
@@ -186,7 +185,7 @@
             return
         if status.is_leaving:
             self.mark_leaving(target, service)
-        certain = sum(not listing.is_released for listing in before)
+        certain = sum(not use.is_released for use in before)
         target_slots.reported_slots = max(1, status.slots)
         target_slots.apply_status(status.busy_slots, certain, loop.time(), is_first)
         target_slots.is_status_known = True
--- a/clementinespar/requests/tests/helpers.py
+++ b/clementinespar/requests/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Document, fleet and claims that the tests of the request path share."""
+"""Documents and fakes that the tests of the request path share."""
 
 import asyncio
 import dataclasses
@@ -44,7 +44,7 @@
 
 
 class FakeSource:
-    """`FleetSource` whose state tests set."""
+    """`FleetSource` whose state is set by tests."""
 
     state: fleet_state.FleetState
 
@@ -56,22 +56,22 @@
             pools_state.apply_document(self.state.pools, document, 0)
 
     async def wait_applied(self, offset: int) -> None:
-        """Return at once: tests apply everything themselves."""
+        """Return at once, as tests change the state directly."""
 
     async def refresh(self, timeout_s: float) -> bool:
-        """Return at once: tests apply everything themselves."""
+        """Return at once, as tests change the state directly."""
         return True
 
 
 @dataclasses.dataclass
 class FakeTargetDirectory:
-    """`TargetDirectory` that offers all targets but those that are marked."""
+    """`TargetDirectory` of all targets that are not marked as leaving."""
 
     host_ids: list[str]
     leaving: set[str] = dataclasses.field(default_factory=set)
 
     def targets_of(self, service: str) -> Sequence[model.Target]:
-        """Return the targets that are not marked."""
+        """Return the targets that are not marked as leaving."""
         return [
             model.Target(host_id, "127.0.0.1", 1, "d1", "r1")
             for host_id in self.host_ids
@@ -79,7 +79,7 @@
         ]
 
     def lent_targets_of(self, service: str) -> Sequence[model.Target]:
-        """Return nothing: the pool borrows from no other."""
+        """Return no targets, as the service does not borrow."""
         return []
 
     def mark_leaving(self, target: model.Target) -> None:
@@ -92,11 +92,11 @@
 
 
 class FakeClaimService:
-    """`ClaimService` in memory; ``mode`` sets what goes wrong."""
+    """`ClaimService` in memory; ``mode`` selects a fault."""
 
-    source: FakeSource  # its folded claims follow
-    mode: str  # ok, down, lost (won, but the reply is lost), stuck or broken
-    hidden_claims: set[str]  # won by another node, not yet in this node's fold
+    source: FakeSource  # its state contains the claims
+    mode: str  # ok, down, lost (claimed, but the reply is lost), stuck or broken
+    hidden_claims: set[str]  # claims of another node that the fold does not contain yet
 
     def __init__(self, source: FakeSource) -> None:
         self.source = source
--- a/clementinespar/requests/tests/test_dispatcher_faults.py
+++ b/clementinespar/requests/tests/test_dispatcher_faults.py
@@ -1,4 +1,4 @@
-"""State machine over the dispatcher with faulty targets and a faulty claim service."""
+"""Stateful test of the dispatcher with faulty targets and a faulty claim service."""
 
 import asyncio
 import collections
@@ -20,9 +20,9 @@
 
 
 class CheckingTransport(fake_target.FakeTargetTransport):
-    """Fails when work is sent that must not be sent."""
+    """Records attempts that the dispatcher must not send as violations."""
 
-    leaving_host_ids: set[str]  # hosts that said that they leave
+    leaving_host_ids: set[str]  # hosts that reported that they are leaving
     in_flight_by_team: collections.Counter[str | None]
     sent: collections.Counter[str]  # attempts by request id
     violations: list[str]
@@ -63,7 +63,7 @@
 
 
 class DispatcherMachine(hypothesis.stateful.RuleBasedStateMachine):
-    """Requests, faults and time in any order."""
+    """Submits requests, injects faults and advances time in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -80,11 +80,11 @@
         self.started_ids: set[str] = set()
         self.runs_when_refused: list[int] = []
         self.last_tasks_by_id: dict[str, asyncio.Task[model.Outcome]] = {}
-        self.left: set[asyncio.Task[model.Outcome]] = set()  # the caller left
+        self.abandoned_tasks: set[asyncio.Task[model.Outcome]] = set()
         self.advance(0.0)  # the dispatcher needs a running loop
-        self.dispatcher = self.loop.run_until_complete(self._make())
+        self.dispatcher = self.loop.run_until_complete(self._make_dispatcher())
 
-    async def _make(self) -> dispatcher.Dispatcher:
+    async def _make_dispatcher(self) -> dispatcher.Dispatcher:
         return dispatcher.Dispatcher(
             self.source, self.directory, self.transport, self.claims
         )
@@ -153,7 +153,7 @@
     def callers_leave(self, share: int) -> None:
         for _, task in self.tasks[::share]:
             if not task.done():
-                self.left.add(task)
+                self.abandoned_tasks.add(task)
                 task.cancel()
 
     @hypothesis.stateful.rule(
@@ -200,8 +200,8 @@
     @hypothesis.stateful.invariant()
     def outcomes_are_exact(self) -> None:
         for request, task in self.tasks:
-            if task.done() and task not in self.left:
-                # An id that was refused may run when it is submitted again.
+            if task.done() and task not in self.abandoned_tasks:
+                # A request that was refused may run when it is submitted again.
                 is_last = self.last_tasks_by_id[request.request_id] is task
                 self._check_outcome(request, task.result(), is_last)
         assert not any(self.runs_when_refused), "ran and was refused as not run"
@@ -218,7 +218,7 @@
     ) -> None:
         request_id = request.request_id
         runs = self._runs(request_id)
-        # Callers conclude from the hundreds of the code.
+        # Callers recognise requests that were not run by result codes 300 to 399.
         assert (outcome.code // 100 == 3) == (outcome.kind is model.OutcomeKind.NOT_RUN)
         if outcome.kind is model.OutcomeKind.ANSWERED:
             assert f'"request_id": "{request_id}"'.encode() in outcome.body
@@ -234,7 +234,7 @@
         )
 
     def teardown(self) -> None:
-        """Drain: everything in flight comes to an outcome, nothing is cut off."""
+        """Check that a drain ends with an outcome for every request in flight."""
         self.dispatcher.begin_drain()
         late = model.Request("late-1", "scale", "plan", b"", "", self.loop.time() + 9)
         self._submit(late)
@@ -246,7 +246,7 @@
         for request, task in self.tasks:
             assert task.done(), f"{request.request_id} has no outcome"
         assert self.tasks[-1][1].result().code == codes.ResultCode.NODE_STOPPING
-        # Work that goes on at its target must not contradict what callers were told.
+        # Work that continues at its target must not contradict the reported outcomes.
         self.advance(100.0)
         self.outcomes_are_exact()
         self._close_loop()
--- a/clementinespar/requests/tests/test_dispatcher_policy.py
+++ b/clementinespar/requests/tests/test_dispatcher_policy.py
@@ -1,4 +1,4 @@
-"""Tests of queue order, retries, ejection, claims and the first count of slots."""
+"""Tests of queue order, retries, ejection, claims and counts of busy slots."""
 
 import asyncio
 import dataclasses
@@ -68,7 +68,7 @@
         return list(await asyncio.gather(*tasks))
 
     def runs(self, request_id: str) -> int:
-        """Return how often a request ran."""
+        """Return how many times a request ran."""
         return sum(f.state.runs_by_request_id[request_id] for f in self.fakes.values())
 
 
@@ -98,13 +98,13 @@
 
 
 def test_long_work_declared_short_is_learned_while_it_runs() -> None:
-    """Guards against a wave of misdeclared work that keeps the short reserve."""
+    """Guards against long work, declared as short, that occupies the short reserve."""
 
     async def main() -> None:
         setup = Setup(short_run_ms=60)
         await setup.submit_many(4, kind="plan", run_ms=20)
         misdeclared = [setup.submit("order", run_ms=3000) for _ in range(4)]
-        await asyncio.sleep(0.2)  # none has ended, but all outlived the short class
+        await asyncio.sleep(0.2)  # none has ended, but all exceed the short limit
         misdeclared += [setup.submit("order", run_ms=3000) for _ in range(20)]
         await asyncio.sleep(0.1)
         waits = [(await setup.submit(run_ms=20)).waited_s for _ in range(10)]
@@ -141,7 +141,7 @@
         await asyncio.sleep(queueing.RESERVE_IDLE_S + 1)
         outcomes = await setup.submit_many(4, kind="report", run_ms=3000)
         assert max(o.waited_s for o in outcomes) < 0.1
-        # Short work came, so the reserve is kept again.
+        # Short work arrived, so the reserve applies again.
         await setup.submit_many(1, run_ms=10)
         outcomes = await setup.submit_many(4, kind="report", run_ms=3000)
         assert max(o.waited_s for o in outcomes) > 1.0
@@ -150,7 +150,7 @@
 
 
 def test_urgent_first_then_earliest_deadline() -> None:
-    """Guards against order of arrival within a class."""
+    """Guards against a class that is served in order of arrival."""
 
     async def main() -> None:
         setup = Setup(host_count=1, slots=1)
@@ -167,11 +167,11 @@
 
 
 def test_refuses_early_what_cannot_start_in_time() -> None:
-    """Guards against refusals that come only after the caller waited in vain."""
+    """Guards against refusals that come only after the caller has waited."""
 
     async def main() -> None:
         setup = Setup(host_count=1, slots=1)
-        await setup.submit_many(4, run_ms=200)  # teaches the run time
+        await setup.submit_many(4, run_ms=200)  # provides samples of the run time
         loop = asyncio.get_running_loop()
         waiting = [setup.submit(run_ms=200, deadline_s=4.0) for _ in range(10)]
         in_time = await setup.submit(run_ms=200, deadline_s=4.1)
@@ -187,7 +187,7 @@
 
 
 def test_bytes_in_the_queue_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a queue of few but large requests that fills the memory."""
+    """Guards against a few large queued requests that exhaust the memory."""
     monkeypatch.setattr(admission, "MAX_BUFFERED_BYTES", 100)
 
     async def main() -> None:
@@ -202,7 +202,7 @@
 
 
 def test_work_that_can_never_run_is_refused_at_once() -> None:
-    """Guards against work without a target that waits for its whole deadline."""
+    """Guards against work without a target that waits until its deadline."""
 
     async def main() -> None:
         setup = Setup()
@@ -217,7 +217,7 @@
 
 
 def test_a_worker_that_fails_fast_does_not_attract_work() -> None:
-    """Guards against least-loaded choice of a worker that fails at once."""
+    """Guards against choosing a worker as least loaded because it fails at once."""
 
     async def main() -> None:
         setup = Setup()
@@ -233,13 +233,13 @@
         bad.faults.fail_all = False
         for _ in range(400):
             await setup.submit_many(4, run_ms=20)
-        assert not setup.dispatcher.ejected_host_ids()  # one probe brought it back
+        assert not setup.dispatcher.ejected_host_ids()  # a successful probe ended it
 
     run(main)
 
 
 def test_a_failing_worker_gets_little_work_where_none_may_be_ejected() -> None:
-    """Guards against a fast failing worker being always the least loaded one."""
+    """Guards against a fast-failing worker that always counts as least loaded."""
 
     async def main() -> None:
         setup = Setup(host_count=2)
@@ -253,12 +253,12 @@
 
 
 def test_caller_that_leaves_between_choice_and_sending() -> None:
-    """Guards against work for nobody, and against a slot that is never given back."""
+    """Guards against work for a caller that left, and a slot that is never released."""
 
     async def main() -> None:
         setup = Setup(host_count=1, slots=1)
         blocker = setup.submit(run_ms=150)
-        # The next look at the targets is then the one when the blocker ends.
+        # The targets are then next listed when the blocker ends.
         await asyncio.sleep(dispatcher.DISPATCH_INTERVAL_S + 0.01)
         waiting = setup.submit(request_id="1-left")
         await asyncio.sleep(0.01)
@@ -277,7 +277,7 @@
 
 
 def test_failures_before_ejection_make_a_target_look_loaded() -> None:
-    """Guards against a fast failing worker being the least loaded one."""
+    """Guards against a fast-failing worker that counts as the least loaded one."""
     tracker = ejection.EjectionTracker()
     for number in range(2):
         tracker.record_failure("h0", f"r{number}", 1.0, 4)
@@ -297,7 +297,7 @@
 
 
 def test_a_request_that_fails_everywhere_is_refused_for_good() -> None:
-    """Guards against blaming targets for a request, and against running it again."""
+    """Guards against running such a request again, and ejecting targets for it."""
 
     async def main() -> None:
         setup = Setup()
@@ -336,12 +336,13 @@
 
 
 def test_new_owner_counts_slots_that_are_busy_already() -> None:
-    """Guards against over-admission after a change of owner or an idle time."""
+    """Guards against overloaded targets after a change of owner or an idle time."""
 
     async def main() -> None:
         setup = Setup(host_count=2, slots=2)
         state = setup.fakes["h0"].state
-        for _ in range(2):  # a first owner, then work of another one while idle
+        # First as a new owner, then after another owner sent work during an idle time.
+        for _ in range(2):
             with state.running("other"), state.running("other"):
                 outcomes = await setup.submit_many(8, run_ms=100)
                 assert all(o.host_id == "h1" for o in outcomes)
@@ -355,7 +356,7 @@
 
 
 def test_unresponsive_target_is_hedged_and_straggler_is_not() -> None:
-    """Guards against lost answers of silent targets and doubled stragglers."""
+    """Guards against waiting for an unresponsive target, and hedging a straggler."""
 
     async def main() -> None:
         setup = Setup(host_count=2, slots=2)
@@ -367,7 +368,8 @@
         setup.fakes["h1"].state.faults.silent = True
         caught = setup.submit(request_id="1-caught")
         await asyncio.sleep(0.1)
-        for name, fake in setup.fakes.items():  # the other target works again
+        # Only the target that received the request stays unresponsive.
+        for name, fake in setup.fakes.items():
             in_use = setup.dispatcher._target_pool.slots_by_host_id[name].uses
             fake.state.faults.silent = bool(in_use)
         outcome = await caught
@@ -391,7 +393,7 @@
         await asyncio.sleep(20.0)
         assert (await setup.submit("order", request_id="1-order")).attempts == 1
         assert "1-order" in claims
-        # Another node's claim that this node's fold does not show yet.
+        # Another node's claim that this node's fold does not contain yet.
         setup.claims.hidden_claims.add("2-order")
         lost = await setup.submit("order", request_id="2-order")
         assert lost.code == codes.ResultCode.ALREADY_CLAIMED
@@ -402,7 +404,7 @@
 
 
 def test_duplicates_in_flight_share_one_run_and_its_answer() -> None:
-    """Guards against a second run, and against an answer to other content."""
+    """Guards against a second run, and an answer to a request with another body."""
 
     async def main() -> None:
         setup = Setup()
@@ -451,7 +453,7 @@
 
 
 def test_budget_counts_the_last_ten_seconds() -> None:
-    """Guards against retries saved up over a quiet day."""
+    """Guards against retries that accumulate over a long time."""
     budget = retries.RetryBudget()
     for _ in range(100):
         budget.record_request(0.0)
@@ -461,7 +463,7 @@
 
 
 def test_queue_entries_survive_reclassification() -> None:
-    """Guards against lost entries when a kind changes its class."""
+    """Guards against lost queue entries when a kind changes its class."""
     queue = queueing.ServiceQueue()
     first = queueing.QueueEntry("1", "plan", None, False, 5.0, 0.1, False)
     second = dataclasses.replace(first, request_id="2", kind="report")
@@ -478,7 +480,7 @@
 
 
 def test_work_on_an_unresponsive_target_runs_elsewhere_although_others_wait() -> None:
-    """Guards against repeatable work that stays unknown during a peak."""
+    """Guards against repeatable work that ends with an unknown outcome at a peak."""
 
     async def main() -> None:
         setup = Setup(host_count=4)
@@ -486,7 +488,7 @@
         tasks = [setup.submit(run_ms=300, deadline_s=10.0) for _ in range(8)]
         await asyncio.sleep(0.1)
         setup.fakes["h0"].state.faults.freeze = True
-        # Keeps the queue filled from before the silence is noticed until after it.
+        # Keeps the queue filled until after the target was found unresponsive.
         for _ in range(40):
             tasks += [setup.submit(run_ms=300, deadline_s=10.0) for _ in range(2)]
             await asyncio.sleep(0.1)
@@ -497,7 +499,7 @@
 
 
 def test_a_late_answer_ends_the_wait_for_a_second_target() -> None:
-    """Guards against a second run after the first target has answered after all."""
+    """Guards against a second run after the first target has answered late."""
 
     async def main() -> None:
         setup = Setup(host_count=2)
@@ -506,7 +508,7 @@
         first = [setup.submit(run_ms=20, request_id=f"{i}-first") for i in range(4)]
         await asyncio.sleep(0.1)
         blocking = [setup.submit("report", run_ms=5000) for _ in range(2)]
-        await asyncio.sleep(3.5)  # the silence is noticed; no slot is free elsewhere
+        await asyncio.sleep(3.5)  # h0 is found unresponsive; h1 has no free slot
         setup.fakes["h0"].state.faults.freeze = False
         outcomes = await asyncio.gather(*first)
         assert {outcome.kind for outcome in outcomes} == {model.OutcomeKind.ANSWERED}
--- a/clementinespar/requests/tests/test_leaving.py
+++ b/clementinespar/requests/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Tests that a leaving target is free of new work within the objective of 3 s."""
+"""Tests that a leaving target gets no new work after the objective of 3 s."""
 
 import asyncio
 import dataclasses
@@ -16,7 +16,7 @@
 
 
 def _take_out(source: helpers.FakeSource) -> None:
-    """Show the host as taken out in the fold, as after a host_taken_out record."""
+    """Mark the host as out in the fold, as a host_taken_out record does."""
     source.state.pools.hosts_by_id[_LEAVING].out = pools_state.HostOut(
         "operation", 1, "maintenance", "test", 0, None, "wave"
     )
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize("signal", ["record", "host list", "target"])
 @pytest.mark.parametrize("kind", ["plan", "order"])
 def test_any_one_signal_stops_new_work(signal: str, kind: str) -> None:
-    """Guards against work for a leaving target while two of three signals lag."""
+    """Guards against work for a leaving target that only one of three signals shows."""
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
--- a/clementinespar/requests/tests/test_lending.py
+++ b/clementinespar/requests/tests/test_lending.py
@@ -1,4 +1,4 @@
-"""Tests of services that borrow idle slots of another pool."""
+"""Tests of services that borrow free slots of another pool."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -17,7 +17,7 @@
 
 _OWN_SLOTS = 4  # 2 hosts of 2 slots
 _SPARE_SLOTS = 8  # 2 hosts of 4 slots
-_LENDABLE = 6  # three quarters
+_LENDABLE = 6  # three quarters of the spare slots
 
 
 def _make_document(**spare_options: object) -> document_model.Document:
@@ -128,7 +128,7 @@
         own = [setup.submit("accounts", 50) for _ in range(_SPARE_SLOTS - _LENDABLE)]
         outcomes = await asyncio.gather(*own)
         assert max(outcome.waited_s for outcome in outcomes) < 0.01
-        # More own work than the reserve: slots that borrowers give back go to it.
+        # More own work than the reserve holds gets the slots that borrowers release.
         own = [setup.submit("accounts", 150) for _ in range(_SPARE_SLOTS)]
         await asyncio.sleep(0.12)
         assert sum(task.done() for task in peak) < len(peak)
@@ -192,7 +192,7 @@
 def test_bad_lenders_are_refused(
     changes: dict[str, dict[str, object]], expected: str
 ) -> None:
-    """Guards against chains and cycles, which would join the queues of many pools."""
+    """Guards against chains and cycles of lending, which would merge many queues."""
     adapter = pydantic.TypeAdapter(document_model.Document)
     values = adapter.dump_python(_make_document(), mode="json")
     for service, fields in changes.items():
--- a/clementinespar/requests/tests/test_resent_orders.py
+++ b/clementinespar/requests/tests/test_resent_orders.py
@@ -1,7 +1,7 @@
-"""Tests of orders that the balancer sends again to another entry node.
+"""Tests of non-repeatable requests that a load balancer resends to another node.
 
-Two entry nodes have a fold, a claimer, a dispatcher and a router each, on one log and
-the same targets, on a paused clock.
+Each of the two entry nodes has a fold, a claimer, a dispatcher and a router. They share
+one log and the same targets, on a paused clock.
 """
 
 import asyncio
@@ -21,11 +21,11 @@
 
 _ANSWERED = model.OutcomeKind.ANSWERED
 _NOT_RUN = model.OutcomeKind.NOT_RUN
-_RUN_MS = 2_000  # the order runs while its copy arrives
+_RUN_MS = 2_000  # long enough that most copies arrive while the order runs
 
 
 class _Owners:
-    """`OwnerDirectory` that lists the nodes which one node sees, best first."""
+    """`OwnerDirectory` of the nodes that one node considers live, owner first."""
 
     def __init__(self) -> None:
         self.dispatchers_by_node: dict[str, dispatcher.Dispatcher] = {}
@@ -62,14 +62,14 @@
 
 @dataclasses.dataclass
 class _TwoNodes:
-    """Two entry nodes; the first owns the queue while both see each other."""
+    """Two entry nodes; the first owns the queue while each considers the other live."""
 
     a: _EntryNode
     b: _EntryNode
     fakes: dict[str, fake_target.FakeTarget]
 
     def cut_peers(self) -> None:
-        """Let each node see only itself, so that both believe they are the owner."""
+        """Cut the nodes off from each other, so that each acts as the owner."""
         self.a.owners.dispatchers_by_node = {"node-a": self.a.dispatcher}
         self.b.owners.dispatchers_by_node = {"node-b": self.b.dispatcher}
 
@@ -125,10 +125,10 @@
     [
         pytest.param({}, True, id="peers"),
         pytest.param({"down": True}, False, id="log refuses"),
-        pytest.param({"silent": True}, False, id="log is silent"),
+        pytest.param({"silent": True}, False, id="log does not answer"),
         pytest.param({"visible_end": 1, **_NO_REPLY}, False, id="claim unseen"),
-        pytest.param({"down": True}, True, id="log refuses and peers"),
-        pytest.param({"silent": True}, True, id="log is silent and peers"),
+        pytest.param({"down": True}, True, id="log refuses, peers"),
+        pytest.param({"silent": True}, True, id="log does not answer, peers"),
         pytest.param({"visible_end": 1, **_NO_REPLY}, True, id="claim unseen, peers"),
         pytest.param({"late_ms": 700.0, **_NO_REPLY}, True, id="claim late, peers"),
     ],
@@ -165,7 +165,7 @@
         kinds = {first.kind, again.kind}
         assert runs == 1 or _ANSWERED not in kinds
         assert runs == 0 or kinds != {_NOT_RUN}
-        # A copy sent after the cut healed does not run it a second time either.
+        # A copy that is sent after the log faults end must not run the request either.
         last = await nodes.b.send(request_id)
         assert nodes.runs(request_id) <= 1
         assert runs == 0 or last.kind is model.OutcomeKind.UNKNOWN
@@ -174,7 +174,7 @@
 @pytest.mark.parametrize("is_cut", [False, True])
 @paused_clock.test
 async def test_order_sent_to_both_nodes_runs_once(is_cut: bool) -> None:
-    """Guards against a bound that holds only because nothing runs at all."""
+    """Guards against requests that are never run twice only because they never run."""
     async with _two_nodes() as nodes:
         if is_cut:
             nodes.cut_peers()
--- a/clementinespar/requests/tests/test_router.py
+++ b/clementinespar/requests/tests/test_router.py
@@ -1,4 +1,4 @@
-"""Tests of the hand-over to owners."""
+"""Tests of the routing of requests to owners."""
 
 import asyncio
 import dataclasses
@@ -87,7 +87,7 @@
 
 
 def test_no_owner_is_not_run_and_old_requests_are_forgotten() -> None:
-    """Guards against a ring of outcomes that grows without bound."""
+    """Guards against a record of outcomes that grows without bound."""
 
     async def main() -> None:
         ingress = router.Router(_Directory([]), helpers.FakeSource(None))
--- a/clementinespar/requests/tests/test_server.py
+++ b/clementinespar/requests/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the whole path over real sockets."""
+"""Tests of the request path from the HTTP server to a target over real sockets."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 
 
 class _LocalOwner:
-    """`OwnerDirectory` in which this node owns everything."""
+    """`OwnerDirectory` in which this node owns every service."""
 
     def __init__(self, handler: model.RequestHandler) -> None:
         self.handler = handler
@@ -68,7 +68,7 @@
 
 
 def test_answers_and_refusals_state_their_outcome() -> None:
-    """Guards against errors without JSON, code or outcome."""
+    """Guards against errors without a JSON body, result code or outcome."""
     cases = [
         ("/v1/scale/plan", {}, 200, "answered", 0),
         ("/v1/scale/order", {}, 200, "answered", 0),
@@ -102,7 +102,7 @@
 
 
 def test_repeated_order_runs_once() -> None:
-    """Guards against a second run of a request that may not be repeated."""
+    """Guards against a second run of a request that is not repeatable."""
 
     async def main() -> None:
         node = _Node()
@@ -119,7 +119,7 @@
 
 
 async def _read_status(stream: iostream.IOStream) -> tuple[int, bytes]:
-    """Read the head of an answer and as much body as it announces."""
+    """Read an answer; return its status and body."""
     head = (await stream.read_until(b"\r\n\r\n")).decode().split("\r\n")
     lengths = [line[15:] for line in head if line.lower().startswith("content-length")]
     return int(head[0].split()[1]), await stream.read_bytes(int(lengths[0]))
@@ -133,7 +133,7 @@
     ],
 )
 def test_large_body_is_refused_as_json(request_bytes: bytes) -> None:
-    """Guards against unbounded memory, and against a cut connection as refusal."""
+    """Guards against unbounded memory, and refusals that only close the connection."""
 
     async def main() -> None:
         node = _Node()
@@ -153,7 +153,7 @@
 
 
 def test_buffered_bodies_are_limited(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against many callers whose bodies together fill the memory."""
+    """Guards against many callers whose bodies together exhaust the memory."""
     monkeypatch.setattr(server, "MAX_BUFFERED_BYTES", 1000)
 
     async def main() -> None:
@@ -193,7 +193,7 @@
 
 
 def test_stop_lets_answers_in_flight_finish() -> None:
-    """Guards against a planned stop that cuts off a request."""
+    """Guards against a planned stop that aborts a request."""
 
     async def main() -> None:
         node = _Node()
@@ -209,7 +209,7 @@
 
 
 def test_caller_that_disconnects_while_queued_is_dropped() -> None:
-    """Guards against work for callers that are gone."""
+    """Guards against work for callers that have left."""
 
     async def main() -> None:
         node = _Node(slots=1)
@@ -236,7 +236,7 @@
 
 
 def test_connections_over_the_limit_are_closed() -> None:
-    """Guards against callers that take all file descriptors."""
+    """Guards against callers that exhaust the file descriptors."""
 
     async def main() -> None:
         node = _Node()
--- a/clementinespar/requests/tests/test_targets.py
+++ b/clementinespar/requests/tests/test_targets.py
@@ -9,7 +9,7 @@
 
 
 class _HostList:
-    """`HostListSource` whose list tests set."""
+    """`HostListSource` whose list is set by tests."""
 
     latest: platform_service.HostList | None
     age_s = 0.0
@@ -36,7 +36,7 @@
         self.directory = targets.FleetTargetDirectory(self.source, self.host_list)
 
     def host_ids(self) -> str:
-        """Return the ids of the targets as one word."""
+        """Return the host ids of the targets, separated by spaces."""
         return " ".join(t.host_id for t in self.directory.targets_of("scale"))
 
     def target(self, number: int) -> model.Target:
@@ -45,7 +45,7 @@
 
 
 def test_each_source_excludes_a_host() -> None:
-    """Guards against new work for a host that one source says is not in service."""
+    """Guards against new work for a host that one source reports as unavailable."""
     setup = _Setup()
     assert setup.host_ids() == "h0 h1 h2"
     setup.hosts_by_id["h0"].failed_since_ms = 5
@@ -60,15 +60,15 @@
 
 
 def test_leaving_mark_outlasts_a_lagging_list_and_ends_with_the_reboot() -> None:
-    """Guards against work for a leaving host while the list still says live."""
+    """Guards against work for a leaving host while the list still shows it as live."""
     setup = _Setup()
     setup.directory.mark_leaving(setup.target(0))
-    assert setup.host_ids() == "h1 h2"  # the list lags and says live
+    assert setup.host_ids() == "h1 h2"  # the list lags and shows the host as live
     setup.host_list.set_condition("h0", "leaving")
     assert setup.host_ids() == "h1 h2"
     setup.host_list.set_condition("h0", "live")
     assert setup.host_ids() == "h0 h1 h2"
-    # A reboot that the list did not show, but the fold.
+    # A reboot that only the fold shows.
     setup.directory.mark_leaving(setup.target(1))
     setup.hosts_by_id["h1"].revision = 9
     assert setup.host_ids() == "h0 h1 h2"
--- a/clementinespar/requests/tests/test_transport.py
+++ b/clementinespar/requests/tests/test_transport.py
@@ -31,7 +31,7 @@
 async def _send_with_faults(
     repeatable: bool, **faults: object
 ) -> tuple[model.Attempt, int]:
-    """Send one request over a reused connection; also return how often it ran."""
+    """Send one request over a reused connection; also return how many times it ran."""
     state = target_standin.TargetState("h0")
     async with target_standin.serve(state) as port, transport.open_transport() as curl:
         warm_up = await curl.send(_target(port), _request("warm-up"), 2.0, True)
@@ -61,7 +61,7 @@
     runs: int,
     repeatable: bool,
 ) -> None:
-    """Guards against calling work not started that a target may have run."""
+    """Guards against reporting work as not started that a target may have run."""
     attempt, ran = asyncio.run(_send_with_faults(repeatable, **faults))
     assert (attempt.kind.value, attempt.code, ran) == (kind, code, runs)
     assert attempt.is_leaving == bool(faults.get("leaving"))
@@ -69,9 +69,9 @@
 
 
 def test_unrepeatable_request_is_delivered_once() -> None:
-    """Guards against libcurl's own second delivery on a reused connection.
+    """Guards against a second delivery by libcurl itself on a reused connection.
 
-    The repeatable request shows that the stand-in would see a second delivery.
+    The repeatable request shows that the stand-in detects a second delivery.
     """
 
     async def main() -> None:
@@ -95,7 +95,7 @@
 
 
 def test_refused_connection_is_not_started() -> None:
-    """Guards against giving up a request whose bytes never left."""
+    """Guards against an unknown outcome of a request that was never sent."""
 
     async def main() -> None:
         with socket.socket() as unused:
@@ -145,7 +145,7 @@
 def test_only_complete_answers_to_the_request_are_accepted(
     head: bytes, kind: str
 ) -> None:
-    """Guards against truncated and crossed answers, and against redirects."""
+    """Guards against truncated answers, answers to other requests, and redirects."""
 
     async def check(port: int, curl: transport.CurlTargetTransport) -> None:
         attempt = await curl.send(_target(port), _request("r1"), 2.0, False)
@@ -156,7 +156,7 @@
 
 
 def test_trace_context_and_odd_names_reach_the_target() -> None:
-    """Guards against lost trace context and against paths that change the service."""
+    """Guards against lost trace context, and names that change the request path."""
     seen: list[bytes] = []
 
     async def main() -> None:
@@ -180,7 +180,7 @@
 
 
 def test_status_of_a_busy_target() -> None:
-    """Guards against a wrong first count of slots by a new owner."""
+    """Guards against a new owner that starts with a wrong count of busy slots."""
 
     async def main() -> None:
         state = target_standin.TargetState("h0", slots=3)
@@ -198,7 +198,7 @@
 def test_unresponsive_target_times_out_and_the_next_connection_is_fresh(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against pooled connections that stay silent, and against proxies."""
+    """Guards against reuse of unresponsive connections, and against proxies."""
     monkeypatch.setenv("http_proxy", "http://127.0.0.1:1")
     monkeypatch.setenv("no_proxy", "")
 
@@ -242,10 +242,10 @@
 
 
 def test_dedicated_connections_are_closed_after_use() -> None:
-    """Guards against idle connections that fill the limit of a target.
+    """Guards against idle connections that exhaust the connection limit of a target.
 
-    A target closes connections over its limit at once; a request of another entry node
-    on such a connection has an unknown outcome.
+    A target closes connections over its limit at once; a request that another entry
+    node sends on such a connection has an unknown outcome.
     """
 
     async def main() -> None:
