--- a/clementinespar/requests/flights.py
+++ b/clementinespar/requests/flights.py
@@ -1,4 +1,4 @@
-"""State of requests from admission to outcome, and of the services they are for."""
+"""State of in-flight requests, and of the services that they are for."""
 
 import asyncio
 import dataclasses
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Assignment:
-    """A target with a slot taken for one attempt."""
+    """A target and the slot that is acquired there for one attempt."""
 
     target: model.Target
     target_slots: slots.TargetSlots
@@ -26,35 +26,36 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Flight:
+class InFlightRequest:
     """One request from its admission to its outcome."""
 
     request: model.Request
     service: "ServiceState"
     entry: queueing.QueueEntry
     is_repeatable: bool
-    declared_s: float  # run time as the caller or the document declares it
+    declared_s: float  # run time that the caller or the document declares
     started_callbacks: list[Callable[[], None]]
-    waiters: int = 0  # callers that still wait; 0 means all of them left
+    waiters: int = 0  # callers that still wait; 0 if all of them have left
     has_started: bool = False  # a byte may have left for a target
     is_claimed: bool = False
     queued_at: float = 0.0  # event-loop time
-    expiry: asyncio.TimerHandle | None = None  # refuses it while it is queued
+    expiry: asyncio.TimerHandle | None = None  # refuses the request if still queued
     waited_s: float = 0.0
     attempts: int = 0
-    # Its target is silent: it shall also run elsewhere, and the retry is paid for.
-    is_doubling: bool = False
+    # A second attempt is due because the target is unresponsive; its retry is already
+    # counted in the budget.
+    is_hedging: bool = False
     tried_host_ids: set[str] = dataclasses.field(default_factory=set)
     failures: list[tuple[str, model.Attempt]] = dataclasses.field(default_factory=list)
     running: set["asyncio.Task[tuple[str, model.Attempt]]"] = dataclasses.field(
         default_factory=set
     )
     # Set while the request waits in the queue.
-    assigned: "asyncio.Future[Assignment | model.Outcome] | None" = None
+    assignment: "asyncio.Future[Assignment | model.Outcome] | None" = None
     task: "asyncio.Task[model.Outcome] | None" = None
 
-    def note_started(self) -> None:
-        """Tell the callers that a byte may leave from now on."""
+    def mark_started(self) -> None:
+        """Report to the callers, once, that a byte may leave for a target now."""
         if not self.has_started:
             self.has_started = True
             for callback in self.started_callbacks:
@@ -62,7 +63,7 @@
 
 
 class ServiceState:
-    """Queue and memory of one service."""
+    """Queue, statistics and attempts of one service."""
 
     name: str
     queue: queueing.ServiceQueue
@@ -70,13 +71,13 @@
     budget: retries.RetryBudget
     ejections: ejection.EjectionTracker
     meter: demand_meter.DemandMeter
-    flights_by_entry: dict[queueing.QueueEntry, Flight]  # those that wait
-    uses: dict[slots.SlotUse, str]  # attempts in flight, with their kind
+    requests_by_entry: dict[queueing.QueueEntry, InFlightRequest]  # queued requests
+    uses: dict[slots.SlotUse, str]  # kind of the request by attempt in flight
     is_long_by_kind: dict[str, bool]
-    host_ids: set[str]  # targets seen at the last look
-    claiming: int  # requests that wait for their claim
+    host_ids: set[str]  # hosts of the usable targets when last read
+    claiming_count: int  # requests whose claim is not decided yet
     last_active_at: float  # event-loop time of the newest request or answer
-    pump_timer: asyncio.TimerHandle | None
+    dispatch_timer: asyncio.TimerHandle | None
 
     def __init__(self, name: str, now: float) -> None:
         self.name = name
@@ -85,16 +86,16 @@
         self.budget = retries.RetryBudget()
         self.ejections = ejection.EjectionTracker()
         self.meter = demand_meter.DemandMeter(now)
-        self.flights_by_entry = {}
+        self.requests_by_entry = {}
         self.uses = {}
         self.is_long_by_kind = {}
         self.host_ids = set()
-        self.claiming = 0
+        self.claiming_count = 0
         self.last_active_at = -math.inf
-        self.pump_timer = None
+        self.dispatch_timer = None
 
     def update_demand(self, now: float) -> None:
-        """Measure the demand after a change."""
-        # Queued work counts as the slots that would run it within a second.
+        """Pass the current demand to the meter."""
+        # Queued work counts as the number of slots that would finish it in one second.
         queued = min(float(len(self.queue)), self.queue.queued_work_s())
         self.meter.set_level(len(self.uses) + queued, now)
--- a/clementinespar/requests/tests/test_dispatcher_faults.py
+++ b/clementinespar/requests/tests/test_dispatcher_faults.py
@@ -1,4 +1,4 @@
-"""State machine over the dispatcher with faulty targets and a faulty claim service."""
+"""Stateful test of the dispatcher with faulty targets and a faulty claim service."""
 
 import asyncio
 import collections
@@ -20,16 +20,16 @@
 
 
 class CheckingTransport(fake_target.FakeTargetTransport):
-    """Fails when work is sent that must not be sent."""
+    """Records attempts that the dispatcher must not send as violations."""
 
-    told_leaving: set[str]  # hosts that said that they leave
+    leaving_host_ids: set[str]  # hosts that reported that they are leaving
     in_flight_by_team: collections.Counter[str | None]
     sent: collections.Counter[str]  # attempts by request id
     violations: list[str]
 
     def __init__(self, targets_by_host_id: dict[str, fake_target.FakeTarget]) -> None:
         super().__init__(targets_by_host_id)
-        self.told_leaving = set()
+        self.leaving_host_ids = set()
         self.in_flight_by_team = collections.Counter()
         self.sent = collections.Counter()
         self.violations = []
@@ -42,7 +42,7 @@
         repeatable: bool,
     ) -> model.Attempt:
         """Check, then send."""
-        if target.host_id in self.told_leaving:
+        if target.host_id in self.leaving_host_ids:
             self.violations.append(f"{target.host_id} is leaving and got new work")
         if repeatable != (request.kind != "order"):
             self.violations.append(f"{request.kind} was sent as {repeatable=}")
@@ -53,7 +53,7 @@
         try:
             attempt = await super().send(target, request, timeout_s, repeatable)
             if attempt.is_leaving and self._is_leaving(target.host_id):
-                self.told_leaving.add(target.host_id)
+                self.leaving_host_ids.add(target.host_id)
             return attempt
         finally:
             self.in_flight_by_team[request.team] -= 1
@@ -63,7 +63,7 @@
 
 
 class DispatcherMachine(hypothesis.stateful.RuleBasedStateMachine):
-    """Requests, faults and time in any order."""
+    """Submits requests, injects faults and advances time in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -80,27 +80,27 @@
         self.started_ids: set[str] = set()
         self.runs_when_refused: list[int] = []
         self.last_tasks_by_id: dict[str, asyncio.Task[model.Outcome]] = {}
-        self.left: set[asyncio.Task[model.Outcome]] = set()  # the caller left
+        self.abandoned_tasks: set[asyncio.Task[model.Outcome]] = set()
         self.advance(0.0)  # the dispatcher needs a running loop
-        self.dispatcher = self.loop.run_until_complete(self._make())
+        self.dispatcher = self.loop.run_until_complete(self._make_dispatcher())
 
-    async def _make(self) -> dispatcher.Dispatcher:
+    async def _make_dispatcher(self) -> dispatcher.Dispatcher:
         return dispatcher.Dispatcher(
             self.source, self.directory, self.transport, self.claims
         )
 
     def _submit(self, request: model.Request) -> None:
-        def note_started() -> None:
+        def mark_started() -> None:
             self.started_ids.add(request.request_id)
 
-        def note_outcome(done: asyncio.Task[model.Outcome]) -> None:
+        def record_outcome(done: asyncio.Task[model.Outcome]) -> None:
             if done.cancelled():
                 return
             if done.result().kind is model.OutcomeKind.NOT_RUN:
                 self.runs_when_refused.append(self._runs(request.request_id))
 
-        task = self.loop.create_task(self.dispatcher.handle(request, note_started))
-        task.add_done_callback(note_outcome)
+        task = self.loop.create_task(self.dispatcher.handle(request, mark_started))
+        task.add_done_callback(record_outcome)
         self.tasks.append((request, task))
         self.last_tasks_by_id[request.request_id] = task
 
@@ -153,7 +153,7 @@
     def callers_leave(self, share: int) -> None:
         for _, task in self.tasks[::share]:
             if not task.done():
-                self.left.add(task)
+                self.abandoned_tasks.add(task)
                 task.cancel()
 
     @hypothesis.stateful.rule(
@@ -174,14 +174,14 @@
     def set_fault(self, number: int, fault: str, value: bool) -> None:
         self.fakes[f"h{number}"].state.faults.update({fault: value})
         if fault == "leaving" and not value:
-            self.transport.told_leaving.discard(f"h{number}")
+            self.transport.leaving_host_ids.discard(f"h{number}")
 
     @hypothesis.stateful.rule(number=strategies.integers(0, HOSTS - 1))
     def kill_or_restart(self, number: int) -> None:
         fake = self.fakes[f"h{number}"]
         if fake.is_killed:
             fake.restart()
-            self.transport.told_leaving.discard(f"h{number}")
+            self.transport.leaving_host_ids.discard(f"h{number}")
         else:
             fake.kill()
 
@@ -200,8 +200,8 @@
     @hypothesis.stateful.invariant()
     def outcomes_are_exact(self) -> None:
         for request, task in self.tasks:
-            if task.done() and task not in self.left:
-                # An id that was refused may run when it is submitted again.
+            if task.done() and task not in self.abandoned_tasks:
+                # A request that was refused may run when it is submitted again.
                 is_last = self.last_tasks_by_id[request.request_id] is task
                 self._check_outcome(request, task.result(), is_last)
         assert not any(self.runs_when_refused), "ran and was refused as not run"
@@ -218,7 +218,7 @@
     ) -> None:
         request_id = request.request_id
         runs = self._runs(request_id)
-        # Callers conclude from the hundreds of the code.
+        # Callers recognise requests that were not run by result codes 300 to 399.
         assert (outcome.code // 100 == 3) == (outcome.kind is model.OutcomeKind.NOT_RUN)
         if outcome.kind is model.OutcomeKind.ANSWERED:
             assert f'"request_id": "{request_id}"'.encode() in outcome.body
@@ -234,7 +234,7 @@
         )
 
     def teardown(self) -> None:
-        """Drain: everything in flight comes to an outcome, nothing is cut off."""
+        """Check that a drain ends with an outcome for every request in flight."""
         self.dispatcher.begin_drain()
         late = model.Request("late-1", "scale", "plan", b"", "", self.loop.time() + 9)
         self._submit(late)
@@ -246,7 +246,7 @@
         for request, task in self.tasks:
             assert task.done(), f"{request.request_id} has no outcome"
         assert self.tasks[-1][1].result().code == codes.ResultCode.NODE_STOPPING
-        # Work that goes on at its target must not contradict what callers were told.
+        # Work that continues at its target must not contradict the reported outcomes.
         self.advance(100.0)
         self.outcomes_are_exact()
         self._close_loop()
--- a/clementinespar/requests/tests/test_resent_orders.py
+++ b/clementinespar/requests/tests/test_resent_orders.py
@@ -1,7 +1,7 @@
-"""Tests of orders that the balancer sends again to another entry node.
+"""Tests of non-repeatable requests that a load balancer resends to another node.
 
-Two entry nodes have a fold, a claimer, a dispatcher and a router each, on one log and
-the same targets, on a paused clock.
+Each of the two entry nodes has a fold, a claimer, a dispatcher and a router. They share
+one log and the same targets, on a paused clock.
 """
 
 import asyncio
@@ -21,11 +21,11 @@
 
 _ANSWERED = model.OutcomeKind.ANSWERED
 _NOT_RUN = model.OutcomeKind.NOT_RUN
-_RUN_MS = 2_000  # the order runs while its copy arrives
+_RUN_MS = 2_000  # long enough that most copies arrive while the order runs
 
 
 class _Owners:
-    """`OwnerDirectory` that lists the nodes which one node sees, best first."""
+    """`OwnerDirectory` of the nodes that one node considers live, owner first."""
 
     def __init__(self) -> None:
         self.dispatchers_by_node: dict[str, dispatcher.Dispatcher] = {}
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass
-class _Entry:
+class _EntryNode:
     """One entry node."""
 
     log_node: log_nodes.LogNode
@@ -61,15 +61,15 @@
 
 
 @dataclasses.dataclass
-class _Two:
-    """Two entry nodes; the first owns the queue while both see each other."""
+class _TwoNodes:
+    """Two entry nodes; the first owns the queue while each considers the other live."""
 
-    a: _Entry
-    b: _Entry
+    a: _EntryNode
+    b: _EntryNode
     fakes: dict[str, fake_target.FakeTarget]
 
     def cut_peers(self) -> None:
-        """Let each node see only itself, so that both believe they are the owner."""
+        """Cut the nodes off from each other, so that each acts as the owner."""
         self.a.owners.dispatchers_by_node = {"node-a": self.a.dispatcher}
         self.b.owners.dispatchers_by_node = {"node-b": self.b.dispatcher}
 
@@ -78,7 +78,7 @@
 
 
 @contextlib.asynccontextmanager
-async def _two() -> AsyncIterator[_Two]:
+async def _two_nodes() -> AsyncIterator[_TwoNodes]:
     log = fake_log.FakeLog()
     fakes = helpers.make_fakes(4)
     async with contextlib.AsyncExitStack() as stack:
@@ -93,7 +93,7 @@
             )
             owners = _Owners()
             ingress = router.Router(owners, node.follower)
-            entries.append(_Entry(node, owner, owners, ingress))
+            entries.append(_EntryNode(node, owner, owners, ingress))
         a, b = entries
         for entry in entries:
             entry.owners.dispatchers_by_node = {
@@ -112,7 +112,7 @@
         result = await a.log_node.appender.append(published, 5.0)
         assert result.code == codes.ResultCode.OK
         await b.log_node.follower.refresh(1.0)
-        yield _Two(a, b, fakes)
+        yield _TwoNodes(a, b, fakes)
 
 
 _NO_REPLY = {"lose_replies": fake_log.ALL}
@@ -125,10 +125,10 @@
     [
         pytest.param({}, True, id="peers"),
         pytest.param({"down": True}, False, id="log refuses"),
-        pytest.param({"silent": True}, False, id="log is silent"),
+        pytest.param({"silent": True}, False, id="log does not answer"),
         pytest.param({"visible_end": 1, **_NO_REPLY}, False, id="claim unseen"),
-        pytest.param({"down": True}, True, id="log refuses and peers"),
-        pytest.param({"silent": True}, True, id="log is silent and peers"),
+        pytest.param({"down": True}, True, id="log refuses, peers"),
+        pytest.param({"silent": True}, True, id="log does not answer, peers"),
         pytest.param({"visible_end": 1, **_NO_REPLY}, True, id="claim unseen, peers"),
         pytest.param({"late_ms": 700.0, **_NO_REPLY}, True, id="claim late, peers"),
     ],
@@ -141,46 +141,46 @@
     resent_after_s: float,
 ) -> None:
     """Guards against a second run by a node that does not know of the first one."""
-    async with _two() as two:
-        request_id = identifiers.new_id(two.a.log_node.log.now_ms())
+    async with _two_nodes() as nodes:
+        request_id = identifiers.new_id(nodes.a.log_node.log.now_ms())
 
         async def cut() -> None:
             await asyncio.sleep(cut_after_s)
-            two.a.log_node.access.faults = fake_log.Faults(**faults)  # type: ignore
+            nodes.a.log_node.access.faults = fake_log.Faults(**faults)  # type: ignore
             if is_cut_from_peers:
-                two.cut_peers()
+                nodes.cut_peers()
 
         async def send_again() -> model.Outcome:
             await asyncio.sleep(resent_after_s)
-            return await two.b.send(request_id)
+            return await nodes.b.send(request_id)
 
         cutting = asyncio.create_task(cut())
         await asyncio.sleep(0)
-        first, again = await asyncio.gather(two.a.send(request_id), send_again())
+        first, again = await asyncio.gather(nodes.a.send(request_id), send_again())
         await cutting
-        two.a.log_node.access.faults = fake_log.Faults()
+        nodes.a.log_node.access.faults = fake_log.Faults()
         await asyncio.sleep(30.0)  # late claims and releases take effect
-        runs = two.runs(request_id)
+        runs = nodes.runs(request_id)
         assert runs <= 1
         kinds = {first.kind, again.kind}
         assert runs == 1 or _ANSWERED not in kinds
         assert runs == 0 or kinds != {_NOT_RUN}
-        # A copy sent after the cut healed does not run it a second time either.
-        last = await two.b.send(request_id)
-        assert two.runs(request_id) <= 1
+        # A copy that is sent after the log faults end must not run the request either.
+        last = await nodes.b.send(request_id)
+        assert nodes.runs(request_id) <= 1
         assert runs == 0 or last.kind is model.OutcomeKind.UNKNOWN
 
 
 @pytest.mark.parametrize("is_cut", [False, True])
 @paused_clock.test
 async def test_order_sent_to_both_nodes_runs_once(is_cut: bool) -> None:
-    """Guards against a bound that holds only because nothing runs at all."""
-    async with _two() as two:
+    """Guards against requests that are never run twice only because they never run."""
+    async with _two_nodes() as nodes:
         if is_cut:
-            two.cut_peers()
-        request_id = identifiers.new_id(two.a.log_node.log.now_ms())
+            nodes.cut_peers()
+        request_id = identifiers.new_id(nodes.a.log_node.log.now_ms())
         first, again = await asyncio.gather(
-            two.a.send(request_id), two.b.send(request_id)
+            nodes.a.send(request_id), nodes.b.send(request_id)
         )
-        assert two.runs(request_id) == 1
+        assert nodes.runs(request_id) == 1
         assert _ANSWERED in {first.kind, again.kind}
--- a/clementinespar/requests/tests/test_transport.py
+++ b/clementinespar/requests/tests/test_transport.py
@@ -31,7 +31,7 @@
 async def _send_with_faults(
     repeatable: bool, **faults: object
 ) -> tuple[model.Attempt, int]:
-    """Send one request over a reused connection; also return how often it ran."""
+    """Send one request over a reused connection; also return how many times it ran."""
     state = target_standin.TargetState("h0")
     async with target_standin.serve(state) as port, transport.open_transport() as curl:
         warm_up = await curl.send(_target(port), _request("warm-up"), 2.0, True)
@@ -61,7 +61,7 @@
     runs: int,
     repeatable: bool,
 ) -> None:
-    """Guards against calling work not started that a target may have run."""
+    """Guards against reporting work as not started that a target may have run."""
     attempt, ran = asyncio.run(_send_with_faults(repeatable, **faults))
     assert (attempt.kind.value, attempt.code, ran) == (kind, code, runs)
     assert attempt.is_leaving == bool(faults.get("leaving"))
@@ -69,9 +69,9 @@
 
 
 def test_unrepeatable_request_is_delivered_once() -> None:
-    """Guards against libcurl's own second delivery on a reused connection.
+    """Guards against a second delivery by libcurl itself on a reused connection.
 
-    The repeatable request shows that the stand-in would see a second delivery.
+    The repeatable request shows that the stand-in detects a second delivery.
     """
 
     async def main() -> None:
@@ -95,7 +95,7 @@
 
 
 def test_refused_connection_is_not_started() -> None:
-    """Guards against giving up a request whose bytes never left."""
+    """Guards against an unknown outcome of a request that was never sent."""
 
     async def main() -> None:
         with socket.socket() as unused:
@@ -110,9 +110,9 @@
     asyncio.run(main())
 
 
-async def _answer_raw(
+async def _serve_raw_answer(
     answer: bytes,
-    then: Callable[[int, transport.CurlTargetTransport], Awaitable[None]],
+    check_answer: Callable[[int, transport.CurlTargetTransport], Awaitable[None]],
 ) -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -122,7 +122,7 @@
 
     listener = await asyncio.start_server(serve, "127.0.0.1", 0)
     async with listener, transport.open_transport() as curl:
-        await then(listener.sockets[0].getsockname()[1], curl)
+        await check_answer(listener.sockets[0].getsockname()[1], curl)
 
 
 @pytest.mark.parametrize(
@@ -142,19 +142,21 @@
         ),
     ],
 )
-def test_only_whole_own_answers_pass(head: bytes, kind: str) -> None:
-    """Guards against truncated and crossed answers, and against redirects."""
+def test_only_complete_answers_to_the_request_are_accepted(
+    head: bytes, kind: str
+) -> None:
+    """Guards against truncated answers, answers to other requests, and redirects."""
 
     async def check(port: int, curl: transport.CurlTargetTransport) -> None:
         attempt = await curl.send(_target(port), _request("r1"), 2.0, False)
         assert attempt.kind.value == kind
         assert attempt.body == (b"{}" if kind == "answered" else b"")
 
-    asyncio.run(_answer_raw(head + b"\r\n\r\n{}", check))
+    asyncio.run(_serve_raw_answer(head + b"\r\n\r\n{}", check))
 
 
 def test_trace_context_and_odd_names_reach_the_target() -> None:
-    """Guards against lost trace context and against paths that change the service."""
+    """Guards against lost trace context, and names that change the request path."""
     seen: list[bytes] = []
 
     async def main() -> None:
@@ -178,7 +180,7 @@
 
 
 def test_status_of_a_busy_target() -> None:
-    """Guards against a wrong first count of slots by a new owner."""
+    """Guards against a new owner that starts with a wrong count of busy slots."""
 
     async def main() -> None:
         state = target_standin.TargetState("h0", slots=3)
@@ -193,23 +195,23 @@
     asyncio.run(main())
 
 
-def test_silence_is_bounded_and_the_next_connection_is_fresh(
+def test_unresponsive_target_times_out_and_the_next_connection_is_fresh(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against pooled connections that stay silent, and against proxies."""
+    """Guards against reuse of unresponsive connections, and against proxies."""
     monkeypatch.setenv("http_proxy", "http://127.0.0.1:1")
     monkeypatch.setenv("no_proxy", "")
 
     async def main() -> None:
         state = target_standin.TargetState("h0")
         connections: list[socket.socket] = []
-        kept = transport._set_socket_options
+        original = transport._set_socket_options
 
-        def note_connection(descriptor: int, purpose: int) -> int:
+        def record_connection(descriptor: int, purpose: int) -> int:
             connections.append(socket.socket(fileno=os.dup(descriptor)))
-            return kept(descriptor, purpose)
+            return original(descriptor, purpose)
 
-        monkeypatch.setattr(transport, "_set_socket_options", note_connection)
+        monkeypatch.setattr(transport, "_set_socket_options", record_connection)
         async with (
             target_standin.serve(state) as port,
             transport.open_transport() as curl,
@@ -239,11 +241,11 @@
     asyncio.run(main())
 
 
-def test_connections_of_their_own_are_closed_after_use() -> None:
-    """Guards against idle connections that fill the limit of a target.
+def test_dedicated_connections_are_closed_after_use() -> None:
+    """Guards against idle connections that exhaust the connection limit of a target.
 
-    A target closes connections over its limit at once; a request of another entry node
-    on such a connection has an unknown outcome.
+    A target closes connections over its limit at once; a request that another entry
+    node sends on such a connection has an unknown outcome.
     """
 
     async def main() -> None:
