--- a/clementinespar/background.py
+++ b/clementinespar/background.py
@@ -1,4 +1,4 @@
-"""Work beside the body of a context."""
+"""Runs a coroutine in the background of a context."""
 
 import asyncio
 import contextlib
@@ -7,15 +7,17 @@
 
 
 @contextlib.asynccontextmanager
-async def running(work: Coroutine[Any, Any, None]) -> AsyncIterator[None]:
-    """Run work in a task while the context is entered; raises its failure at the end.
+async def running(coroutine: Coroutine[Any, Any, None]) -> AsyncIterator[None]:
+    """Run a coroutine as a task while the context is entered.
+
+    If the coroutine has failed, its exception is raised when the context exits.
 
     Parameters
     ----------
-    work : Coroutine
-        Cancelled at the end of the context, if it still runs then.
+    coroutine : Coroutine
+        Cancelled when the context exits, if it is still running.
     """
-    task = asyncio.create_task(work)
+    task = asyncio.create_task(coroutine)
     try:
         yield
     finally:
--- a/clementinespar/boot_clock.py
+++ b/clementinespar/boot_clock.py
@@ -1,7 +1,8 @@
-"""An event loop whose clock counts the time for which the machine is suspended.
+"""Event loop whose clock includes the time for which the machine is suspended.
 
-Leases on workers run on while this machine stands still; with the steady clock, a node
-that wakes up would believe in a confirmation that has ended.
+Leases on workers keep expiring while this machine is suspended. ``CLOCK_MONOTONIC``
+stops during a suspension, so a node that resumes would rely on an ownership
+confirmation that has expired.
 """
 
 import asyncio
@@ -12,5 +13,5 @@
     """Event loop on ``CLOCK_BOOTTIME``."""
 
     def time(self) -> float:
-        """Return seconds since the machine started, with suspensions."""
+        """Return seconds since the machine booted, including suspended time."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/clementinespar/codes.py
+++ b/clementinespar/codes.py
@@ -1,7 +1,7 @@
-"""The numbered result codes of the whole system.
+"""Numbered result codes.
 
 Codes are stable: a number is never reused. ``docs/result-codes.md`` has the same table
-with what an operator does about each code; a test keeps the two equal.
+with the operator's action for each code; a test keeps the two equal.
 """
 
 import enum
@@ -12,7 +12,7 @@
 
     OK = 0
 
-    # 1xx: settings and documents that are not valid.
+    # 1xx: invalid settings and documents.
     SETTING_UNKNOWN = 100
     SETTING_MISSING = 101
     SETTING_INVALID = 102
@@ -21,7 +21,7 @@
     DOCUMENT_INVALID = 111
     DOCUMENT_TOO_LARGE = 112
 
-    # 2xx: records of the log that take no effect.
+    # 2xx: records of the log that have no effect.
     RECORD_DUPLICATE = 200
     RECORD_INVALID = 201
     RECORD_TOO_OLD = 202
@@ -44,7 +44,7 @@
     CLAIM_TOO_OLD = 251
     CLAIM_NOT_HELD = 252
 
-    # 3xx: requests refused as not run.
+    # 3xx: requests that were refused and not run.
     SERVICE_UNKNOWN = 300
     REQUEST_INVALID = 301
     REQUEST_TOO_LARGE = 302
@@ -68,7 +68,7 @@
     ANSWER_MISMATCH = 403
     OWNER_LOST = 404
     ALREADY_CLAIMED = 405
-    REQUEST_FAILED_REPEATEDLY = 406  # 315 until its outcome was found to be unknown
+    REQUEST_FAILED_REPEATEDLY = 406  # formerly 315, which stays unused
     REQUEST_ID_EXPIRED = 407
 
     # 5xx: the platform and peers.
--- a/clementinespar/errors.py
+++ b/clementinespar/errors.py
@@ -4,18 +4,18 @@
 
 
 class ClementinesparError(Exception):
-    """Base of all errors that the system raises on purpose.
+    """Base class of the errors that clementinespar raises.
 
     Parameters
     ----------
     code : codes.ResultCode
         The numbered result code.
     message : str
-        What happened, for a person.
+        Description of the failure for operators.
     """
 
-    code: codes.ResultCode  # numbered result code, stable across versions
-    message: str  # plain sentence for operators
+    code: codes.ResultCode  # stable across versions
+    message: str  # for operators, without the result code
 
     def __init__(self, code: codes.ResultCode, message: str) -> None:
         super().__init__(f"{code.name} ({int(code)}): {message}")
@@ -24,7 +24,7 @@
 
 
 class LogUnavailableError(ClementinesparError):
-    """The log service did not answer; an append certainly did not take effect."""
+    """The log service is unavailable; an append did not take effect."""
 
     def __init__(self, message: str) -> None:
         super().__init__(codes.ResultCode.LOG_UNAVAILABLE, message)
@@ -45,7 +45,7 @@
     def __init__(self, first_offset: int) -> None:
         super().__init__(
             codes.ResultCode.LOG_RECORDS_EXPIRED,
-            f"the log keeps records from offset {first_offset} only",
+            f"the oldest record that the log keeps is at offset {first_offset}",
         )
         self.first_offset = first_offset
 
@@ -65,7 +65,7 @@
 
 
 class PlatformRefusedError(ClementinesparError):
-    """The platform refused a host action, which certainly has no effect."""
+    """The platform refused a host action, which therefore has no effect."""
 
     def __init__(self, message: str) -> None:
         super().__init__(codes.ResultCode.PLATFORM_REFUSED, message)
--- a/clementinespar/explanation.py
+++ b/clementinespar/explanation.py
@@ -1,4 +1,4 @@
-"""Explanations that the operators' commands show."""
+"""Explanations of states, shown to operators."""
 
 import dataclasses
 
@@ -12,5 +12,5 @@
     subject: str  # what is explained, for example "pool accounts"
     state: str  # one or two words
     waits_for: str | None  # what must happen next, or None if nothing is awaited
-    because: tuple[str, ...]  # plain sentences, the most important one first
-    code: codes.ResultCode  # OK, or why nothing happens now
+    because: tuple[str, ...]  # reasons, the most important one first
+    code: codes.ResultCode  # OK, or why nothing can be done now
--- a/clementinespar/http_calls.py
+++ b/clementinespar/http_calls.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 calls over kept connections, with few system calls for each call.
+"""HTTP/1.1 client with persistent connections and few system calls per call.
 
-tornado's curl client took 5 to 10 ms for one call on the operators' machines, and an
-owner makes hundreds of calls a second. httptools parses the responses; one connection
+An owner makes hundreds of calls a second, and tornado's curl client takes 5 to 10 ms
+per call on the operators' machines. httptools parses the responses. A connection
 carries one call at a time.
 """
 
@@ -13,20 +13,20 @@
 
 from clementinespar import codes, errors
 
-CONNECT_TIMEOUT_S = 0.4  # all addresses are within a few milliseconds
-MAX_IDLE_PER_ADDRESS = 8  # kept connections to one address
-MAX_IDLE_S = 10.0  # an idle connection may go silent; older ones are not used again
+CONNECT_TIMEOUT_S = 0.4  # round trips to all addresses take a few milliseconds
+MAX_IDLE_PER_ADDRESS = 8
+MAX_IDLE_S = 10.0  # not reused after that, as the peer may be unresponsive
 
 
 class CallNotSentError(errors.ClementinesparError):
-    """The call did not leave this process, so it had no effect."""
+    """The call was not sent, so it had no effect."""
 
     def __init__(self, message: str) -> None:
         super().__init__(codes.ResultCode.CALL_NOT_SENT, message)
 
 
 class CallUnansweredError(errors.ClementinesparError):
-    """The call was sent and got no whole response; it may still take effect."""
+    """The call was sent and got no complete response; it may still take effect."""
 
     def __init__(self, message: str) -> None:
         super().__init__(codes.ResultCode.CALL_UNANSWERED, message)
@@ -34,14 +34,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Response:
-    """A whole response."""
+    """A complete response."""
 
     status: int
     body: bytes
 
 
 class _Connection(asyncio.Protocol):
-    """One connection with at most one call in flight."""
+    """A connection with at most one call in flight."""
 
     transport: asyncio.Transport | None
     is_closed: bool
@@ -83,11 +83,11 @@
             self.close()
 
     def on_body(self, body: bytes) -> None:
-        """Keep a part of the body."""
+        """Append a part of the body."""
         self._chunks.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand the whole response to the caller."""
+        """Complete the pending call with the response."""
         if not self._parser.should_keep_alive():
             self.is_closed = True
         body = b"".join(self._chunks)
@@ -102,7 +102,7 @@
         waiter: asyncio.Future[Response] = loop.create_future()
         self._waiter = waiter
         self.transport.write(request)
-        timer = loop.call_later(timeout_s, _expire, waiter, timeout_s)
+        timer = loop.call_later(timeout_s, _set_timeout, waiter, timeout_s)
         try:
             return await waiter
         except BaseException:
@@ -113,24 +113,24 @@
             self._waiter = None
 
     def close(self) -> None:
-        """Drop the connection; bytes not yet sent are lost."""
+        """Abort the connection; bytes not yet sent are lost."""
         self.is_closed = True
         if self.transport is not None:
             self.transport.abort()
 
 
-def _expire(waiter: "asyncio.Future[Response]", timeout_s: float) -> None:
+def _set_timeout(waiter: "asyncio.Future[Response]", timeout_s: float) -> None:
     if not waiter.done():
         waiter.set_exception(
-            CallUnansweredError(f"no response within {timeout_s * 1000:.0f} ms")
+            CallUnansweredError(f"no complete response in {timeout_s * 1000:.0f} ms")
         )
 
 
-class HttpCaller:
-    """Makes calls to any address; needs a running event loop."""
+class HttpClient:
+    """Calls any address and pools the connections; needs a running event loop."""
 
     _idle_by_address: dict[str, list[_Connection]]
-    calls: int  # calls sent so far
+    calls: int  # number of calls sent
 
     def __init__(self) -> None:
         self._idle_by_address = {}
@@ -145,16 +145,17 @@
         headers: str = "",
         timeout_s: float = 1.0,
     ) -> Response:
-        """Make one call.
+        """Make one call and return its response.
 
         Parameters
         ----------
         address : str
             ``IP:port``.
         headers : str
-            Further header lines, each with its line end.
+            Additional header lines, each terminated by CRLF.
         timeout_s : float
-            Longest wait for the whole response, without connecting, in seconds.
+            Longest wait for the complete response in seconds, from the moment at which
+            the connection is open.
 
         Raises
         ------
@@ -163,27 +164,27 @@
         CallUnansweredError
             The call may have been executed.
         """
-        connection = await self._take(address)
+        connection = await self._acquire_connection(address)
         self.calls += 1
         request = (
             f"{method} {path} HTTP/1.1\r\nHost: {address}\r\n"
             f"Content-Length: {len(body)}\r\n{headers}\r\n"
         ).encode() + body
         response = await connection.call(request, timeout_s)
-        self._give_back(address, connection)
+        self._release_connection(address, connection)
         return response
 
     def drop_idle(self, address: str) -> None:
-        """Close the kept connections to an address, which may have gone silent."""
+        """Close the idle connections to an address that may be unresponsive."""
         for connection in self._idle_by_address.pop(address, ()):
             connection.close()
 
     def close(self) -> None:
-        """Close all kept connections."""
+        """Close all idle connections."""
         for address in list(self._idle_by_address):
             self.drop_idle(address)
 
-    async def _take(self, address: str) -> _Connection:
+    async def _acquire_connection(self, address: str) -> _Connection:
         loop = asyncio.get_running_loop()
         idle = self._idle_by_address.get(address)
         while idle:
@@ -200,7 +201,7 @@
             raise CallNotSentError(f"no connection to {address}: {error!r}") from error
         return opened
 
-    def _give_back(self, address: str, connection: _Connection) -> None:
+    def _release_connection(self, address: str, connection: _Connection) -> None:
         idle = self._idle_by_address.setdefault(address, [])
         if connection.is_closed or len(idle) >= MAX_IDLE_PER_ADDRESS:
             connection.close()
--- a/clementinespar/identifiers.py
+++ b/clementinespar/identifiers.py
@@ -4,7 +4,7 @@
 import time
 
 _RANDOM_BYTES = 10  # 80 bits: no collision within any retention window
-_MAX_DIGITS = 15  # int() raises on thousands of digits, which a caller could send
+_MAX_DIGITS = 15  # a caller may send thousands of digits, on which int() raises
 
 
 def new_id(issued_ms: int | None = None) -> str:
--- a/clementinespar/jobs/node.py
+++ b/clementinespar/jobs/node.py
@@ -47,7 +47,7 @@
         self,
         settings: options.JobNodeSettings,
         parts: PlatformParts,
-        caller: http_calls.HttpCaller,
+        caller: http_calls.HttpClient,
         record: services.JobRecorder,
     ) -> None:
         self.metrics = telemetry.JobMetrics()
--- a/clementinespar/jobs/options.py
+++ b/clementinespar/jobs/options.py
@@ -21,7 +21,7 @@
 
     name: options.Name
     data_centre: options.Name
-    address: options.IpNumber
+    address: options.IpAddress
     callers: options.Endpoint  # where callers connect
     readiness: options.Endpoint  # where the balancer asks
     first_internal_port: options.Port
--- a/clementinespar/jobs/service.py
+++ b/clementinespar/jobs/service.py
@@ -30,7 +30,7 @@
     keeper: ownership.OwnershipKeeper
     configuration: services.ConfigurationSource
     _store: services.JobStore
-    _caller: http_calls.HttpCaller
+    _caller: http_calls.HttpClient
     _waiting_by_queue: dict[str, tuple[float, int]]
     _sent_at: dict[str, float]  # job id: event-loop time of its append in flight
     _lost_at: float  # event-loop time of the first append without an answer
@@ -41,7 +41,7 @@
         keeper: ownership.OwnershipKeeper,
         configuration: services.ConfigurationSource,
         store: services.JobStore,
-        caller: http_calls.HttpCaller,
+        caller: http_calls.HttpClient,
     ) -> None:
         self.keeper = keeper
         self.configuration = configuration
--- a/clementinespar/jobs/tests/test_service.py
+++ b/clementinespar/jobs/tests/test_service.py
@@ -35,7 +35,7 @@
             fakes.ignore_event,
         )
         self.jobs = service.JobService(
-            self.keeper, NoConfiguration(), self.store, http_calls.HttpCaller()
+            self.keeper, NoConfiguration(), self.store, http_calls.HttpClient()
         )
 
     def set_silent(self, is_silent: bool) -> None:
--- a/clementinespar/options.py
+++ b/clementinespar/options.py
@@ -1,6 +1,7 @@
 """Settings of an entry node, read from an INI file.
 
-All sections and keys are defined here. `load_settings` reports every bad value at once.
+All sections and keys are defined here. `load_settings` reports all invalid values at
+once.
 """
 
 import configparser
@@ -23,13 +24,13 @@
 
 
 def check_ip(text: str) -> str:
-    """Return an IP number unchanged, or raise ValueError."""
+    """Return an IP address unchanged, or raise ValueError."""
     ipaddress.ip_address(text)
     return text
 
 
 def is_name(text: str) -> bool:
-    """Whether a text is a valid name of a node."""
+    """Return whether a text is a valid name of a node."""
     return re.fullmatch(_NAME_PATTERN, text) is not None
 
 
@@ -60,7 +61,7 @@
     return text
 
 
-IpNumber = Annotated[str, pydantic.AfterValidator(check_ip)]
+IpAddress = Annotated[str, pydantic.AfterValidator(check_ip)]
 Url = Annotated[str, pydantic.AfterValidator(check_url)]
 Endpoint = Annotated[str, pydantic.AfterValidator(check_endpoint)]
 LogLevel = Literal["debug", "info", "notice", "warning", "error"]
@@ -72,7 +73,7 @@
 
 @pydantic.dataclasses.dataclass(frozen=True, slots=True, config=_CONFIG)
 class NodeSettings:
-    """Who this node is and where it stands."""
+    """Identity and location of this node."""
 
     name: Name  # unique among the user's entry nodes
     data_centre: Name
@@ -84,7 +85,7 @@
 class CallersSettings:
     """HTTP port for callers."""
 
-    address: IpNumber
+    address: IpAddress
     port: Port
     max_body_bytes: int = pydantic.Field(default=_MIB, ge=1, le=64 * _MIB)
     max_header_bytes: int = pydantic.Field(default=16_384, ge=1024, le=_MIB)
@@ -96,16 +97,16 @@
 class AdminSettings:
     """HTTP port for operators, metrics and health checks."""
 
-    address: IpNumber
+    address: IpAddress
     port: Port
     max_body_bytes: int = pydantic.Field(default=4 * _MIB, ge=1, le=64 * _MIB)
 
 
 @pydantic.dataclasses.dataclass(frozen=True, slots=True, config=_CONFIG)
 class PeersSettings:
-    """gRPC port for the other entry nodes."""
+    """gRPC port for other entry nodes."""
 
-    address: IpNumber
+    address: IpAddress
     port: Port
     seeds: Annotated[
         tuple[Endpoint, ...], pydantic.BeforeValidator(parse_endpoints)
@@ -162,12 +163,12 @@
 
 
 class SettingError(errors.ClementinesparError):
-    """One setting that is not valid."""
+    """A setting that is missing, unknown or invalid."""
 
-    section: str  # INI section, empty when the whole file is meant
-    key: str  # key within the section, empty when the whole section is meant
-    value: str  # value as written, empty when it is missing
-    expected: str  # what would be valid
+    section: str  # INI section, empty for an error of the whole file
+    key: str  # key within the section, empty for an error of the whole section
+    value: str  # value as written, empty if it is missing
+    expected: str  # description of a valid value
 
     def __init__(
         self,
@@ -177,9 +178,9 @@
         value: str,
         expected: str,
     ) -> None:
-        place = f"[{section}] {key}".strip() if section else "file"
-        shown = f" = {value!r}" if value else ""
-        super().__init__(code, f"{place}{shown}: {expected}")
+        location = f"[{section}] {key}".strip() if section else "file"
+        assignment = f" = {value!r}" if value else ""
+        super().__init__(code, f"{location}{assignment}: {expected}")
         self.section = section
         self.key = key
         self.value = value
@@ -202,7 +203,7 @@
     Raises
     ------
     ExceptionGroup
-        One `SettingError` for each bad section, key or value.
+        One `SettingError` for each invalid section, key or value.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
@@ -232,10 +233,10 @@
 def _combination_problems(
     values: Mapping[str, Mapping[str, str]],
 ) -> Iterator[SettingError]:
-    """Yield settings that do not fit together.
+    """Yield errors of settings that are invalid in combination.
 
-    Works on the values as written, so that these problems are reported together with
-    those of single values.
+    Checks the values as written, so that these errors are reported together with those
+    of single values.
     """
     peers = values.get("peers", {})
     uses_tls = any(key in peers for key in _TLS_KEYS)
@@ -247,7 +248,7 @@
                 "peers",
                 key,
                 "",
-                f"{', '.join(_TLS_KEYS)} are set together or not at all",
+                f"required: {', '.join(_TLS_KEYS)} must be set together or not at all",
             )
         elif uses_tls and not pathlib.Path(value).is_file():
             yield SettingError(
@@ -255,7 +256,7 @@
                 "peers",
                 key,
                 value,
-                "a file that can be read on this host",
+                "expected the path of an existing file",
             )
     telemetry = values.get("telemetry", {})
     if telemetry.get("trace_exporter") == "otlp" and not telemetry.get("otlp_endpoint"):
@@ -272,22 +273,22 @@
             "peers",
             "address",
             peers["address"],
-            "the IP number by which the other nodes reach this one",
+            "expected the IP address at which the other nodes reach this one",
         )
-    section_by_place: dict[tuple[str, str], str] = {}
+    section_by_endpoint: dict[tuple[str, str], str] = {}
     for section in ("callers", "admin", "peers"):
-        place = (
+        endpoint = (
             values.get(section, {}).get("address", ""),
             values.get(section, {}).get("port", "0"),
         )
-        other = section_by_place.setdefault(place, section)
-        if other != section and place[1] != "0":
+        other = section_by_endpoint.setdefault(endpoint, section)
+        if other != section and endpoint[1] != "0":
             yield SettingError(
                 codes.ResultCode.SETTING_INVALID,
                 section,
                 "port",
-                place[1],
-                f"a port of its own; [{other}] has the same",
+                endpoint[1],
+                f"expected a different port; [{other}] has the same address and port",
             )
 
 
@@ -300,7 +301,7 @@
 
 _EXPECTED_BY_ERROR_TYPE = {
     "missing": "required",
-    "unexpected_keyword_argument": "no such name; remove it or correct it",
+    "unexpected_keyword_argument": "unknown name; correct or remove it",
 }
 
 
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -35,7 +35,7 @@
         self._platform = platform
         self._nodes = nodes
         self._chance = chance
-        self._caller = http_calls.HttpCaller()
+        self._caller = http_calls.HttpClient()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, seconds: float) -> None:
