--- a/clementinespar/node.py
+++ b/clementinespar/node.py
@@ -1,4 +1,4 @@
-"""Assembles one entry node and runs it until it is told to stop."""
+"""Assembles an entry node and runs it until it is stopped."""
 
 import asyncio
 import contextlib
@@ -46,20 +46,20 @@
 
 _log = logbook.Logger("node")
 
-# A dead holder blocks its duty for this long. Renewals at half of it cost the log one
-# append in five seconds for each duty, whatever the number of nodes.
+# A duty whose lease holder has crashed is not run until the lease expires. Renewals at
+# half of the lease append one record per duty every 5 s, whatever the number of nodes.
 DUTY_LEASE_MS = 10_000
 # Entries between snapshots. A start replays at most this many, which takes seconds.
 SNAPSHOT_MAX_ENTRIES = 10_000
-_RELEASE_LIMIT_S = 2.0  # longest wait at a stop for releases of claims
-_READY_CHECK_S = 0.05
+_CLAIM_RELEASE_TIMEOUT_S = 2.0  # at a stop
+_READY_CHECK_INTERVAL_S = 0.05
 
 EXIT_DONE = 0
-EXIT_CUT = 1  # requests were cut off at the stop
+EXIT_REQUESTS_ABORTED = 1  # in-flight requests were aborted at the stop
 
 
 class _Planner(Protocol):
-    """A planner that runs in rounds."""
+    """Plans and acts in rounds."""
 
     async def run_round(self) -> codes.ResultCode:
         """Run one round."""
@@ -67,14 +67,14 @@
 
 
 class _ObservedRouter(request_router.Router):
-    """Router that counts outcomes, and refuses until the state is whole.
+    """Router that counts outcomes and refuses requests until the state is complete.
 
     Parameters
     ----------
     peers : directory.Peers
         Owners of queues.
     follower : log_follower.Follower
-        Tells when the state is whole; before that, its document may be an old one.
+        Its document may be outdated until the follower is ready.
     """
 
     _follower: log_follower.Follower
@@ -96,14 +96,14 @@
                 outcome = model.Outcome(
                     model.OutcomeKind.NOT_RUN,
                     codes.ResultCode.NOT_READY,
-                    "this node has not read the newest state yet",
+                    "this node has not read the current state yet",
                 )
         metrics.count_outcome(request.service, outcome, loop.time() - began)
         return outcome
 
 
 class Node:
-    """One entry node.
+    """An entry node.
 
     Parameters
     ----------
@@ -123,20 +123,20 @@
     callers: callers_server.CallersServer
     holders: dict[str, duty_holder.DutyHolder]  # by duty
     ports: dict[str, int]  # bound ports by use
-    _stop: asyncio.Event  # the node is to stop
-    _cut: asyncio.Event  # it is to stop without waiting for requests
+    _stop_requested: asyncio.Event
+    _abort_requested: asyncio.Event  # stop without waiting for in-flight requests
     _started_ms: int  # wall time
-    _cut_request_ids: list[str]
+    _aborted_request_ids: list[str]
 
     def __init__(self, settings: options.Settings) -> None:
         self.settings = settings
         self.is_stopping = False
         self.holders = {}
         self.ports = {}
-        self._stop = asyncio.Event()
-        self._cut = asyncio.Event()
+        self._stop_requested = asyncio.Event()
+        self._abort_requested = asyncio.Event()
         self._started_ms = time.time_ns() // 1_000_000
-        self._cut_request_ids = []
+        self._aborted_request_ids = []
 
     # Readiness.
 
@@ -147,7 +147,7 @@
 
     @property
     def can_own(self) -> bool:
-        """Whether this node may own queues: it knows the fold and the targets."""
+        """Whether this node may own queues: it has the state and a host list."""
         return self._knows_targets() and not self.is_stopping
 
     def _queue_group(self, service: str) -> str:
@@ -164,14 +164,14 @@
         if self.is_stopping:
             reasons.append("the node is stopping")
         if self.peers.members.is_superseded:
-            reasons.append("another node runs under this node's name")
+            reasons.append("another node with this node's name is running")
         if not self.follower.is_ready:
             reasons.append(
-                "neither the log nor a peer has given the state yet: "
+                "the state has not been read from the log or from a peer yet: "
                 f"{self.follower.last_error or 'reading'}"
             )
         elif self.host_list.latest is None and not self.peers.has_owner():
-            reasons.append("no host list yet, and no other node that has one")
+            reasons.append("no host list has been read yet, and no other node has one")
         return reasons
 
     @property
@@ -203,7 +203,7 @@
         }
 
     def _report(self) -> membership.Report:
-        """Return what the other nodes are told."""
+        """Return the report that is sent to the other nodes."""
         state = self.follower.state
         return membership.Report(
             applied_offset=state.offset,
@@ -220,7 +220,7 @@
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
-        """Run all parts; at the end, close what `stop` has left."""
+        """Run all components; at the end, close those that `stop` has not closed."""
         settings = self.settings
         async with contextlib.AsyncExitStack() as stack:
             log = log_http.HttpLogService(
@@ -290,7 +290,9 @@
                 _serving_callers(self.router, self.follower, settings.callers)
             )
             self.ports["callers"] = self.callers.port
-            async with self._on_duty({"maintenance": waves, "capacity": capacity}):
+            async with self._running_duties(
+                {"maintenance": waves, "capacity": capacity}
+            ):
                 yield
 
     def _serve_admin(
@@ -324,8 +326,10 @@
         stack.enter_context(server.serving(listener))
 
     @contextlib.asynccontextmanager
-    async def _on_duty(self, planners: Mapping[str, _Planner]) -> AsyncIterator[None]:
-        """Take duties until a stop begins, so that others take them over early."""
+    async def _running_duties(
+        self, planners: Mapping[str, _Planner]
+    ) -> AsyncIterator[None]:
+        """Run the duties until a stop begins, then release them to other nodes."""
         publisher = snapshot.SnapshotPublisher(
             self.follower,
             self.appender,
@@ -333,85 +337,90 @@
             SNAPSHOT_MAX_ENTRIES,
             lambda: self.holders["snapshots"].is_held,
         )
-        works: dict[str, Callable[[], Coroutine[Any, Any, None]]] = {
+        run_by_duty: dict[str, Callable[[], Coroutine[Any, Any, None]]] = {
             duty: functools.partial(self._run_rounds, duty, planner)
             for duty, planner in planners.items()
         }
-        works["snapshots"] = publisher.run
-        for duty in works:
+        run_by_duty["snapshots"] = publisher.run
+        for duty in run_by_duty:
             self.holders[duty] = duty_holder.DutyHolder(
                 duty, self.appender, self.follower, self.name, DUTY_LEASE_MS
             )
         tasks = [
-            asyncio.create_task(self._run_duty(duty, work), name=f"duty {duty}")
-            for duty, work in works.items()
+            asyncio.create_task(self._run_duty(duty, run), name=f"duty {duty}")
+            for duty, run in run_by_duty.items()
         ]
         try:
             yield
         finally:
-            # The leases are released at the same time: each release waits for the log.
+            # Released concurrently, because each release waits for the log.
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _run_duty(
-        self, duty: str, work: Callable[[], Coroutine[Any, Any, None]]
+        self, duty: str, run: Callable[[], Coroutine[Any, Any, None]]
     ) -> None:
         while not self.follower.is_ready:
-            await asyncio.sleep(_READY_CHECK_S)
+            await asyncio.sleep(_READY_CHECK_INTERVAL_S)
         async with self.holders[duty].running():
-            task = asyncio.create_task(work(), name=f"work of duty {duty}")
+            task = asyncio.create_task(run(), name=f"work of duty {duty}")
             try:
-                await self._stop.wait()
+                await self._stop_requested.wait()
             finally:
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
 
     async def _run_rounds(self, duty: str, planner: _Planner) -> None:
-        """Run rounds while this node holds the duty."""
+        """Run a planner's rounds while this node holds the lease of the duty."""
         last_code = codes.ResultCode.OK
         while True:
             if self.holders[duty].is_held:
                 try:
                     code = await planner.run_round()
                 except Exception:
-                    # One bad round must not end the duty while its lease is renewed.
-                    _log.exception("a round of duty {} failed", duty)
+                    # A failed round must not end the task: the lease would still be
+                    # renewed, and no node would run the duty.
+                    _log.exception("a planning round of duty {} failed", duty)
                     code = codes.ResultCode.INTERNAL_ERROR
                 if code not in (last_code, codes.ResultCode.INTERNAL_ERROR):
-                    _log.info("rounds of duty {} now end with {}", duty, code.name)
+                    _log.info(
+                        "result of the planning rounds of duty {} changed to {}",
+                        duty,
+                        code.name,
+                    )
                 last_code = code
                 metrics.ROUNDS.labels(duty, code.name).inc()
             await asyncio.sleep(self.settings.platform.planning_interval_s)
 
-    # Life.
+    # Lifecycle.
 
     async def wait_ready(self) -> bool:
-        """Wait until the node accepts work; False if it is told to stop before."""
+        """Wait until the node accepts work; False if a stop is requested before."""
         while not self.is_ready:
-            if self._stop.is_set():
+            if self._stop_requested.is_set():
                 return False
-            await asyncio.sleep(_READY_CHECK_S)
+            await asyncio.sleep(_READY_CHECK_INTERVAL_S)
         return True
 
     async def wait_stop(self) -> None:
-        """Wait until the node is told to stop."""
-        await self._stop.wait()
+        """Wait until a stop is requested."""
+        await self._stop_requested.wait()
 
     def request_stop(self) -> None:
-        """Stop; at the second call, without waiting for requests."""
-        if self._stop.is_set():
-            self._cut.set()
-        self._stop.set()
+        """Request a stop; a second call aborts the in-flight requests."""
+        if self._stop_requested.is_set():
+            self._abort_requested.set()
+        self._stop_requested.set()
 
     async def stop(self) -> None:
-        """Take no new work and wait for the requests in flight."""
+        """Stop accepting work and wait for the in-flight requests."""
         limit_s = self.settings.node.stop_limit_s
-        _log.notice("stopping; requests in flight have {} s", limit_s)
+        _log.notice("stopping; waiting up to {} s for in-flight requests", limit_s)
         self.is_stopping = True
-        # While the others are told, requests are still taken: none is refused that
-        # could have been answered.
-        await self._unless_cut(self.peers.members.announce())
+        # Requests are accepted until the other nodes have been informed, so that none
+        # is refused that could have been answered.
+        await self._wait_unless_aborted(self.peers.members.announce())
         self.callers.begin_drain()
         self.dispatcher.begin_drain()
         waits = [
@@ -422,9 +431,9 @@
                 self.peers.wait_idle,
             )
         ]
-        await self._unless_cut(asyncio.wait(waits))
-        # A claim that stays held refuses the caller's next try until it expires.
-        await self._unless_cut(self.claimer.finish(_RELEASE_LIMIT_S))
+        await self._wait_unless_aborted(asyncio.wait(waits))
+        # Until a claim is released or expires, the caller's next attempt is refused.
+        await self._wait_unless_aborted(self.claimer.finish(_CLAIM_RELEASE_TIMEOUT_S))
         for task in waits:
             task.cancel()
         await asyncio.gather(*waits, return_exceptions=True)
@@ -433,28 +442,30 @@
             await self.dispatcher.wait_idle(0),
             await self.peers.wait_idle(0),
         ]
-        self._cut_request_ids = sorted({i for ids in remaining for i in ids})
+        self._aborted_request_ids = sorted({i for ids in remaining for i in ids})
 
-    async def _unless_cut(self, step: Awaitable[Any]) -> None:
-        """Wait for a step, or until the node is to stop without waiting."""
+    async def _wait_unless_aborted(self, step: Awaitable[Any]) -> None:
+        """Wait for a step of the stop, or until an abort is requested."""
         step_task = asyncio.ensure_future(step)
-        cut_task = asyncio.create_task(self._cut.wait())
-        await asyncio.wait({step_task, cut_task}, return_when="FIRST_COMPLETED")
-        for task in (step_task, cut_task):
+        abort_task = asyncio.create_task(self._abort_requested.wait())
+        await asyncio.wait({step_task, abort_task}, return_when="FIRST_COMPLETED")
+        for task in (step_task, abort_task):
             task.cancel()
-        await asyncio.gather(step_task, cut_task, return_exceptions=True)
+        await asyncio.gather(step_task, abort_task, return_exceptions=True)
 
     @property
-    def cut_request_ids(self) -> list[str]:
-        """Requests that the stop did not wait for."""
-        return self._cut_request_ids
+    def aborted_request_ids(self) -> list[str]:
+        """Requests that were still in flight at the end of the stop."""
+        return self._aborted_request_ids
 
     # Telemetry.
 
     def _on_peers_change(self) -> None:
-        if self.peers.members.is_superseded and not self._stop.is_set():
-            _log.error("a later node runs under the name {}; this one stops", self.name)
-            self._stop.set()
+        if self.peers.members.is_superseded and not self._stop_requested.is_set():
+            _log.error(
+                "another node has started under the name {}; this one stops", self.name
+            )
+            self._stop_requested.set()
 
     def _refresh_metrics(self) -> None:
         state = self.follower.state
@@ -480,16 +491,16 @@
     source: log_follower.Follower,
     settings: options.CallersSettings,
 ) -> AsyncIterator[callers_server.CallersServer]:
-    """Serve callers; at the end, cut off answers that are still in flight.
+    """Serve callers; at the end, abort the requests that are still in flight.
 
-    The server's own end waits for them without a limit.
+    The server's own shutdown would wait for them without a limit.
     """
     manager = callers_server.make_server(router, source, settings)
     server = await manager.__aenter__()
     try:
         yield server
     finally:
-        # What is left in flight here is past the limit of the stop.
+        # Requests that are still in flight have exceeded the limit of the stop.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(0.1):
                 await manager.__aexit__(None, None, None)
@@ -515,7 +526,7 @@
     Returns
     -------
     int
-        Exit status: 0 if no request was cut off, 1 otherwise.
+        Exit status: 0 if no request was aborted, 1 otherwise.
     """
     with (
         logs.logging_to(settings.telemetry, settings.node.name),
@@ -531,17 +542,17 @@
                     print(line, file=sys.stdout, flush=True)
                 await node.wait_stop()
                 await node.stop()
-        if node.cut_request_ids:
+        if node.aborted_request_ids:
             _log.error(
-                "cut off {} requests at the stop: {}",
-                len(node.cut_request_ids),
-                ", ".join(node.cut_request_ids),
+                "aborted {} in-flight requests at the stop: {}",
+                len(node.aborted_request_ids),
+                ", ".join(node.aborted_request_ids),
             )
-            return EXIT_CUT
-        _log.notice("stopped; no request was cut off")
+            return EXIT_REQUESTS_ABORTED
+        _log.notice("stopped; no request was aborted")
         return EXIT_DONE
 
 
 def run(settings: options.Settings) -> int:
-    """Run a node in an event loop of its own and return its exit status."""
+    """Run a node in a new event loop and return its exit status."""
     return asyncio.run(serve(settings))
--- a/clementinespar/tests/test_node.py
+++ b/clementinespar/tests/test_node.py
@@ -65,7 +65,7 @@
                 response = await f.request(ingress, service, "read")
                 assert response.code == 200, response.body
             await stopping
-            assert owner.cut_request_ids == []
+            assert owner.aborted_request_ids == []
             assert [(await task).code for task in running] == [200, 200]
             assert ingress.peers.candidates(service)[0].node != owner.name
 
@@ -88,7 +88,7 @@
             await _until_running(f)
             short.request_stop()
             await short.stop()
-            assert short.cut_request_ids == [request_id]
+            assert short.aborted_request_ids == [request_id]
             task.cancel()
 
     asyncio.run(main())
