--- a/clementinespar/background.py
+++ b/clementinespar/background.py
@@ -7,17 +7,17 @@
 
 
 @contextlib.asynccontextmanager
-async def running(coroutine: Coroutine[Any, Any, None]) -> AsyncIterator[None]:
+async def running(work: Coroutine[Any, Any, None]) -> AsyncIterator[None]:
     """Run a coroutine as a task while the context is entered.
 
     If the coroutine has failed, its exception is raised when the context exits.
 
     Parameters
     ----------
-    coroutine : Coroutine
+    work : Coroutine
         Cancelled when the context exits, if it is still running.
     """
-    task = asyncio.create_task(coroutine)
+    task = asyncio.create_task(work)
     try:
         yield
     finally:
--- a/clementinespar/errors.py
+++ b/clementinespar/errors.py
@@ -45,7 +45,7 @@
     def __init__(self, first_offset: int) -> None:
         super().__init__(
             codes.ResultCode.LOG_RECORDS_EXPIRED,
-            f"the oldest record that the log keeps is at offset {first_offset}",
+            f"the log keeps only records from offset {first_offset} on",
         )
         self.first_offset = first_offset
 
--- a/clementinespar/node.py
+++ b/clementinespar/node.py
@@ -164,7 +164,7 @@
         if self.is_stopping:
             reasons.append("the node is stopping")
         if self.peers.members.is_superseded:
-            reasons.append("another node with this node's name is running")
+            reasons.append("another node runs under this node's name")
         if not self.follower.is_ready:
             reasons.append(
                 "the state has not been read from the log or from a peer yet: "
@@ -337,18 +337,18 @@
             SNAPSHOT_MAX_ENTRIES,
             lambda: self.holders["snapshots"].is_held,
         )
-        run_by_duty: dict[str, Callable[[], Coroutine[Any, Any, None]]] = {
+        work_by_duty: dict[str, Callable[[], Coroutine[Any, Any, None]]] = {
             duty: functools.partial(self._run_rounds, duty, planner)
             for duty, planner in planners.items()
         }
-        run_by_duty["snapshots"] = publisher.run
-        for duty in run_by_duty:
+        work_by_duty["snapshots"] = publisher.run
+        for duty in work_by_duty:
             self.holders[duty] = duty_holder.DutyHolder(
                 duty, self.appender, self.follower, self.name, DUTY_LEASE_MS
             )
         tasks = [
-            asyncio.create_task(self._run_duty(duty, run), name=f"duty {duty}")
-            for duty, run in run_by_duty.items()
+            asyncio.create_task(self._run_duty(duty, work), name=f"duty {duty}")
+            for duty, work in work_by_duty.items()
         ]
         try:
             yield
@@ -359,12 +359,12 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _run_duty(
-        self, duty: str, run: Callable[[], Coroutine[Any, Any, None]]
+        self, duty: str, work: Callable[[], Coroutine[Any, Any, None]]
     ) -> None:
         while not self.follower.is_ready:
             await asyncio.sleep(_READY_CHECK_INTERVAL_S)
         async with self.holders[duty].running():
-            task = asyncio.create_task(run(), name=f"work of duty {duty}")
+            task = asyncio.create_task(work(), name=f"work of duty {duty}")
             try:
                 await self._stop_requested.wait()
             finally:
@@ -385,9 +385,7 @@
                     code = codes.ResultCode.INTERNAL_ERROR
                 if code not in (last_code, codes.ResultCode.INTERNAL_ERROR):
                     _log.info(
-                        "result of the planning rounds of duty {} changed to {}",
-                        duty,
-                        code.name,
+                        "planning rounds of duty {} now end with {}", duty, code.name
                     )
                 last_code = code
                 metrics.ROUNDS.labels(duty, code.name).inc()
@@ -462,9 +460,7 @@
 
     def _on_peers_change(self) -> None:
         if self.peers.members.is_superseded and not self._stop_requested.is_set():
-            _log.error(
-                "another node has started under the name {}; this one stops", self.name
-            )
+            _log.error("a newer node runs under the name {}; this one stops", self.name)
             self._stop_requested.set()
 
     def _refresh_metrics(self) -> None:
--- a/clementinespar/options.py
+++ b/clementinespar/options.py
@@ -256,7 +256,7 @@
                 "peers",
                 key,
                 value,
-                "expected the path of an existing file",
+                "expected the path of a file on this host",
             )
     telemetry = values.get("telemetry", {})
     if telemetry.get("trace_exporter") == "otlp" and not telemetry.get("otlp_endpoint"):
