--- a/clementinespar/admin/publishing.py
+++ b/clementinespar/admin/publishing.py
@@ -1,7 +1,7 @@
 """Publication and promotion of documents.
 
-A document counts as accepted once this node has read its record back from the log and
-the fold has put it into force. The report then says on which nodes it is in force.
+A document is accepted once this node has read its record back from the log and the fold
+has put it into force. The reply says on which nodes it is in force.
 """
 
 import asyncio
@@ -16,10 +16,10 @@
 from clementinespar.fleet import state as fleet_state
 from clementinespar.log import base
 
-# An accepted document is to be in force everywhere within 4 s; waiting longer would
-# only keep the operator from the report.
+# An accepted document should be in force on all nodes within 4 s. After that the reply
+# is sent anyway, with the nodes that have not applied it.
 IN_FORCE_TIMEOUT_S = 4.0
-# With the wait above it stays below the 10 s that the command line waits for a reply.
+# The sum of both timeouts stays below the 10 s that the command line waits for a reply.
 APPEND_TIMEOUT_S = 5.0
 _MAX_AUTHOR_CHARACTERS = 80  # limit of the record's field
 
@@ -34,7 +34,7 @@
     async def append(
         self, record: base.Record, timeout_s: float
     ) -> fleet_state.RecordResult:
-        """Append a record and return what became of it once it is read back."""
+        """Append a record and return its result once it is read back."""
         ...
 
 
@@ -48,7 +48,7 @@
         ...
 
     def unreached_nodes(self) -> list[str]:
-        """Return the known nodes that do not answer this one."""
+        """Return the known nodes that are unresponsive to this one."""
         ...
 
     async def wait_changed(self) -> None:
@@ -58,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Publication:
-    """What became of a publication or promotion."""
+    """Result of a publication or promotion."""
 
     code: codes.ResultCode
     name: str  # of the code
@@ -67,7 +67,7 @@
     revision: int  # revision in force now
     in_force_on: tuple[str, ...] = ()  # names of nodes
     not_in_force_on: tuple[str, ...] = ()  # live nodes that have not applied it
-    not_reached: tuple[str, ...] = ()  # known nodes that do not answer this one
+    not_reached: tuple[str, ...] = ()  # known nodes that are unresponsive to this one
     winner: str | None = None  # author of the revision that won a conflict
     winner_revision: int | None = None
 
@@ -84,7 +84,7 @@
     view : RevisionView
         Revisions on the other nodes.
     is_ready : callable
-        Whether this node's state is whole.
+        Whether this node's state is complete.
     """
 
     _appender: Appender
@@ -119,9 +119,9 @@
         Raises
         ------
         ExceptionGroup
-            The document is not valid; one error for each problem.
+            The document is invalid; one error for each problem.
         errors.ClementinesparError
-            Another value is not valid, the node is not ready, or the log gave no
+            Another value is invalid, the node is not ready, or the log returned no
             result.
         """
         check_keys(body, {"replaces", "author", "document"})
@@ -150,7 +150,7 @@
         Raises
         ------
         errors.ClementinesparError
-            A value is not valid, the node is not ready, or the log gave no result.
+            A value is invalid, the node is not ready, or the log returned no result.
         """
         check_keys(body, {"trial_revision", "replaces", "author"})
         issued_ms = self._appender.now_ms()
@@ -238,8 +238,8 @@
 ) -> documents_state.Publication | None:
     """Return the publication that replaced a revision.
 
-    When it is too old for the history, or the revision was never in force, it is the
-    newest one in force.
+    If the history no longer has it, or the revision was never in force, return the
+    newest accepted publication.
     """
     accepted = [
         publication
@@ -254,23 +254,23 @@
 
 
 def check_keys(body: Mapping[str, object], keys: set[str]) -> None:
-    """Raise unless a body has exactly these keys."""
+    """Raise an error unless a body has exactly these keys."""
     missing = sorted(keys - set(body))
     unknown = sorted(set(body) - keys)
     if missing or unknown:
         problems = [f"{key} is missing" for key in missing]
-        problems += [f"{key} is not known" for key in unknown]
+        problems += [f"{key} is not a known key" for key in unknown]
         raise errors.ClementinesparError(
             codes.ResultCode.REQUEST_INVALID, "; ".join(problems)
         )
 
 
 def parse_revision(body: Mapping[str, object], key: str) -> int:
-    """Return a revision: a whole number from 0."""
+    """Return a revision: an integer of at least 0."""
     value = body[key]
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
         raise errors.ClementinesparError(
-            codes.ResultCode.REQUEST_INVALID, f"{key}: expected a whole number from 0"
+            codes.ResultCode.REQUEST_INVALID, f"{key}: expected an integer from 0"
         )
     return value
 
--- a/clementinespar/admin/server.py
+++ b/clementinespar/admin/server.py
@@ -22,12 +22,12 @@
 _MAX_HEADER_BYTES = 16 * 1024
 _IDLE_TIMEOUT_S = 60.0
 _BODY_TIMEOUT_S = 10.0
-# A body over the limit is read and dropped up to this many bytes, so that the client,
-# which still sends, receives the refusal; a larger one ends the connection.
-_DROPPED_BODY_BYTES = 16 * 1024 * 1024
+# Bytes over the limit of a body that are read and discarded, so that a client that is
+# still sending receives the error; a larger body closes the connection.
+_DISCARDED_BODY_BYTES = 16 * 1024 * 1024
 _MAX_PROBLEMS = 50  # problems of a document in one reply
 
-# The HTTP status of a refusal; other codes are the caller's error.
+# HTTP status of a result code; all others are errors of the client, 400.
 _STATUS_BY_CODE = {
     codes.ResultCode.OK: 200,
     codes.ResultCode.DOCUMENT_CONFLICT: 409,
@@ -43,7 +43,7 @@
     codes.ResultCode.LOG_REPLY_LOST: 504,
     codes.ResultCode.INTERNAL_ERROR: 500,
 }
-# Errors that tornado itself finds: no such path, wrong method.
+# Result codes of errors that tornado raises; all others are REQUEST_INVALID.
 _CODE_BY_STATUS = {
     413: codes.ResultCode.REQUEST_TOO_LARGE,
     500: codes.ResultCode.INTERNAL_ERROR,
@@ -56,7 +56,7 @@
 
 
 def encode_json(value: object) -> bytes:
-    """Return compact JSON of data classes, models and plain values."""
+    """Return the compact JSON of a data class, a model or a plain value."""
     return pydantic_core.to_json(value, fallback=str)
 
 
@@ -77,11 +77,11 @@
         self.finish(encode_json(value) + b"\n")
 
     def fail(
-        self, code: codes.ResultCode, message: str, status: int, **more: object
+        self, code: codes.ResultCode, message: str, status: int, **extra: object
     ) -> None:
-        """Finish with an error."""
+        """Finish with an error; ``extra`` adds fields to the reply."""
         self.reply(
-            {"code": int(code), "name": code.name, "message": message, **more}, status
+            {"code": int(code), "name": code.name, "message": message, **extra}, status
         )
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
@@ -103,7 +103,7 @@
             case _:
                 self.fail(
                     codes.ResultCode.INTERNAL_ERROR,
-                    "the node failed to handle the call; its log tells why",
+                    "the node failed to handle the call; its log has the traceback",
                     500,
                 )
 
@@ -125,7 +125,7 @@
         )
 
     def log_exception(self, typ: Any, value: Any, tb: Any) -> None:
-        """Log only what is not an answer to the caller's own error."""
+        """Log unexpected exceptions only, not those that report an invalid call."""
         is_expected = isinstance(
             value,
             errors.ClementinesparError | BaseExceptionGroup | tornado.web.HTTPError,
@@ -139,7 +139,7 @@
             )
 
     def environment(self, text: str | None) -> messages.Environment:
-        """Return an environment, or raise."""
+        """Return an environment, or raise an error if there is none of this name."""
         match text:
             case "trial":
                 return "trial"
@@ -196,12 +196,12 @@
 
 class _Explain(_Handler):
     def get(self, subject: str, name: str) -> None:
-        shown = self.admin.admin_views
+        admin_views = self.admin.admin_views
         explain: Callable[[str], object] = {
-            "hosts": shown.host,
-            "pools": shown.pool,
-            "waves": shown.wave,
-            "requests": shown.request,
+            "hosts": admin_views.host,
+            "pools": admin_views.pool,
+            "waves": admin_views.wave,
+            "requests": admin_views.request,
         }[subject]
         explained = explain(urllib.parse.unquote(name))
         value = pydantic_core.to_jsonable_python(explained, fallback=str)
@@ -221,13 +221,13 @@
 @tornado.web.stream_request_body
 class _Document(_Handler):
     def prepare(self) -> None:
-        """Refuse a body over the limit before it is read."""
+        """Refuse a body whose declared size exceeds the limit before it is read."""
         self.chunks: list[bytes] = []
         self.size = 0
         self._check_size(int(self.request.headers.get("Content-Length", "0")))
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep a part of the body within the limit."""
+        """Append a part of the body; refuse a body that exceeds the limit."""
         if self._finished:
             return
         self.size += len(chunk)
@@ -252,7 +252,7 @@
         self,
         action: Callable[[Mapping[str, object]], Awaitable[publishing.Publication]],
     ) -> None:
-        """Run a publication and reply with what became of it."""
+        """Run a publication or promotion and reply with its result."""
         body = parse_body(b"".join(self.chunks))
         publication = await action(body)
         self.reply(publication, status_of(publication.code))
@@ -287,13 +287,13 @@
     Parameters
     ----------
     settings : options.AdminSettings
-        Address, port and limit on bodies.
+        Address, port and limit of request bodies.
     admin_views : views.Views
-        Replies to reads.
+        Builds the replies to GET.
     publisher : publishing.Publisher
-        Publication of documents.
+        Publishes and promotes documents.
     refresh_metrics : callable
-        Sets the gauges before they are read.
+        Sets the gauges before the metrics are rendered.
     """
 
     admin_views: views.Views
@@ -335,7 +335,7 @@
         )
         server = tornado.httpserver.HTTPServer(
             application,
-            max_body_size=self.max_body_bytes + _DROPPED_BODY_BYTES,
+            max_body_size=self.max_body_bytes + _DISCARDED_BODY_BYTES,
             max_header_size=_MAX_HEADER_BYTES,
             idle_connection_timeout=_IDLE_TIMEOUT_S,
             body_timeout=_BODY_TIMEOUT_S,
--- a/clementinespar/admin/views.py
+++ b/clementinespar/admin/views.py
@@ -1,4 +1,4 @@
-"""Status and explanations that the admin port shows."""
+"""Status and explanations on the admin port."""
 
 import dataclasses
 from collections.abc import Callable, Mapping
@@ -15,12 +15,12 @@
 
 Json = dict[str, Any]
 
-# What the status shows of a queue that this node owns.
+# Fields that the status shows of a queue that this node owns.
 _QUEUE_KEYS = ("queued_short", "queued_long", "in_flight", "free_slots")
 
 
 class UnknownSubjectError(errors.ClementinesparError):
-    """There is nothing by the name that was asked for."""
+    """The pool or request to explain does not exist."""
 
 
 class HostExplainer(Protocol):
@@ -52,7 +52,7 @@
 
 
 class NodeView(Protocol):
-    """What the node says about itself."""
+    """Readiness and status of the node itself."""
 
     @property
     def is_ready(self) -> bool:
@@ -61,7 +61,7 @@
 
     @property
     def not_ready_reasons(self) -> list[str]:
-        """Why it does not, as plain sentences."""
+        """Why it does not, empty if it does."""
         ...
 
     def describe(self) -> Json:
@@ -71,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Views:
-    """Builds the replies of the admin port from the parts of the node."""
+    """Builds the replies of the admin port from the components of the node."""
 
     node: NodeView
     source: fleet_source.FleetSource
@@ -81,7 +81,7 @@
     waves: PoolPlanner
     capacity: PoolPlanner
     requests: RequestExplainer
-    explain_queue: Callable[[str], Mapping[str, Any]]  # the queue of a service here
+    explain_queue: Callable[[str], Mapping[str, Any]]  # by name of the service
 
     def status(self, environment: messages.Environment) -> Json:
         """Return the reply of ``GET /v1/status``."""
@@ -89,7 +89,7 @@
         document = None if in_force is None else in_force.document
         return {
             "environment": environment,
-            "document": None if in_force is None else _document_line(in_force),
+            "document": None if in_force is None else _document_summary(in_force),
             "node": self.node.describe(),
             "host_list": self._host_list(),
             "peers": self._peers(),
@@ -111,7 +111,7 @@
         in_force = self.source.state.documents.in_force_by_environment.get(environment)
         if in_force is None:
             return {"environment": environment, "revision": 0, "document": None}
-        return _document_line(in_force) | {
+        return _document_summary(in_force) | {
             "environment": environment,
             "document": in_force.document,
         }
@@ -132,24 +132,24 @@
         return self.hosts.explain(host_id)
 
     def pool(self, name: str) -> Json:
-        """Explain a pool: its budget, hosts that are out, and capacity."""
+        """Explain a pool: its budget, its hosts that are out, and its capacity."""
         document = self.source.state.documents.production
         if document is None or name not in document.pools:
             raise UnknownSubjectError(
                 codes.ResultCode.POOL_UNKNOWN, f"no pool {name} in production"
             )
         explained = self.capacity.explain(name)
-        facts = self._pool(name, document.pools[name])
+        status = self._pool(name, document.pools[name])
         because = [
-            f"{facts['available']} of {facts['hosts']} hosts are available; the budget "
-            f"keeps at least {facts['min_available']}"
+            f"{status['available']} of {status['hosts']} hosts are available; the "
+            f"budget keeps at least {status['min_available']}"
         ]
-        if facts["out"]:
-            because.append("out: " + ", ".join(facts["out"]))
-        if facts["failed"]:
-            because.append("failed: " + ", ".join(facts["failed"]))
-        if facts["ejected"]:
-            because.append("ejected: " + ", ".join(facts["ejected"]))
+        if status["out"]:
+            because.append("out: " + ", ".join(status["out"]))
+        if status["failed"]:
+            because.append("failed: " + ", ".join(status["failed"]))
+        if status["ejected"]:
+            because.append("ejected: " + ", ".join(status["ejected"]))
         return {
             "subject": explained.subject,
             "state": explained.state,
@@ -168,13 +168,13 @@
         return self.waves.explain(pool)
 
     def request(self, request_id: str) -> Mapping[str, Any]:
-        """Explain a recent request of a caller of this node."""
+        """Explain a recent request that a caller sent to this node."""
         explained = self.requests.explain(request_id)
         if explained is None:
             raise UnknownSubjectError(
                 codes.ResultCode.REQUEST_INVALID,
-                "this node knows no such recent request; ask the node that its "
-                "caller asked",
+                "this node has received no recent request with this id; ask the node "
+                "to which the caller sent it",
             )
         return explained
 
@@ -221,7 +221,7 @@
             ),
             "min_available": pool.budget.min_available,
             "spare": pool.spare,
-            "out": [_out_line(host) for host in hosts if host.out is not None],
+            "out": [_out_text(host) for host in hosts if host.out is not None],
             "failed": [h.host_id for h in hosts if h.failed_since_ms is not None],
             "ejected": [host.host_id for host in hosts if host.host_id in ejected],
             "lent_in": [host.host_id for host in hosts if host.home != name],
@@ -245,7 +245,7 @@
         for name, service in document.services.items():
             owners = self.peers.candidates(name)
             observed = demands.get(name)
-            line: Json = {
+            summary: Json = {
                 "name": name,
                 "pool": service.pool,
                 "owner": owners[0].node if owners else None,
@@ -254,12 +254,12 @@
             }
             if owners and owners[0].is_local:
                 queue = self.explain_queue(name)
-                line |= {key: queue[key] for key in _QUEUE_KEYS if key in queue}
-            services.append(line)
+                summary |= {key: queue[key] for key in _QUEUE_KEYS if key in queue}
+            services.append(summary)
         return services
 
 
-def _document_line(in_force: documents_state.DocumentInForce) -> Json:
+def _document_summary(in_force: documents_state.DocumentInForce) -> Json:
     return {
         "revision": in_force.revision,
         "author": in_force.author,
@@ -267,7 +267,7 @@
     }
 
 
-def _out_line(host: pools_state.HostState) -> str:
+def _out_text(host: pools_state.HostState) -> str:
     if host.out is None:
         return host.host_id
     target = "" if host.out.to_pool is None else f" to {host.out.to_pool}"
