--- a/clementinespar/commands/client.py
+++ b/clementinespar/commands/client.py
@@ -1,7 +1,7 @@
-"""Client of the admin port of a node.
+"""Client of the admin ports of nodes.
 
-Several nodes may be given; they are tried in turn. A call that changes something is
-never sent twice by the client itself: the caller learns whether it may have arrived.
+Several nodes may be given; they are tried in turn. The client never resends a call that
+changes something: `NoReply` says whether the node may have received it.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 _CONNECT_TIMEOUT_S = 2.0
 _MAX_REPLY_BYTES = 16 * 1024 * 1024
-# A timeout is not among them: the call may have arrived before it.
+# A timeout is not one of them: the node may have received the call before it.
 _ERRORS_BEFORE_SENDING = frozenset(
     {pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST, pycurl.E_URL_MALFORMAT}
 )
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A reply of a node."""
+    """A node's reply."""
 
     node: str  # IP:port that replied
     status: int  # HTTP status
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoReply:
-    """A call without a reply."""
+    """A call that got no reply."""
 
     node: str  # IP:port that was called
     reason: str
@@ -56,19 +56,19 @@
 
 
 def parse_code(value: object) -> codes.ResultCode | int:
-    """Return a result code from its number or name, 599 if it is neither."""
+    """Return a result code from its number or name, INTERNAL_ERROR if it is neither."""
     if isinstance(value, str) and value in codes.ResultCode.__members__:
         return codes.ResultCode[value]
     if isinstance(value, int):
         try:
             return codes.ResultCode(value)
         except ValueError:
-            return value  # a code of a newer version
+            return value  # a code of a newer version of the node
     return codes.ResultCode.INTERNAL_ERROR
 
 
 def code_text(code: codes.ResultCode | int) -> str:
-    """Return a result code as operators see it."""
+    """Return the number and name of a result code, as shown to operators."""
     return f"{int(code)} {code.name if isinstance(code, codes.ResultCode) else ''}"
 
 
@@ -86,7 +86,7 @@
 
     @property
     def nodes(self) -> Sequence[str]:
-        """Nodes in the order in which they are tried: silent ones last."""
+        """Nodes in the order in which they are tried: unresponsive ones last."""
         return tuple(self._nodes)
 
     def close(self) -> None:
@@ -94,14 +94,14 @@
         self._client.close()
 
     def try_last(self, node: str) -> None:
-        """Try a node that gave no reply after the others from now on.
+        """Move a node that gave no reply to the end of the order.
 
-        A command makes several calls, and each would wait for a silent node again.
+        Otherwise each call of a command would wait for the unresponsive node again.
         """
         self._nodes.sort(key=lambda known: known == node)
 
     async def get(self, path: str, query: Mapping[str, str] | None = None) -> Reply:
-        """Return the first reply of a node.
+        """Return the first reply of any node.
 
         Raises
         ------
@@ -118,7 +118,7 @@
     ) -> list[Reply]:
         """Return the replies of the first ``limit`` nodes that reply (default: all).
 
-        Nodes that reply with an error of their own (5xx) count only if no other does.
+        Replies with a server error (5xx) are returned only if there are no others.
 
         Raises
         ------
@@ -181,10 +181,10 @@
 
 @contextlib.contextmanager
 def connect(nodes: Sequence[str], timeout_s: float) -> Iterator[AdminClient]:
-    """Give a client and close it.
+    """Yield a client and close it at the end.
 
-    It is not closed after a cancellation: calls are then in flight, and tornado's
-    client fails in its next callback. The event loop ends with the command.
+    It is not closed after a cancellation: calls are then in flight, and the next
+    callback of tornado's client would fail. The event loop ends with the command.
     """
     admin = AdminClient(nodes, timeout_s)
     try:
@@ -198,10 +198,9 @@
 
 
 def _prepare_curl(curl: pycurl.Curl) -> None:
-    """Use one new connection per call and bound the size of a reply.
+    """Use a new connection for each call and limit the size of its reply.
 
-    libcurl sends a POST again by itself when a reused connection closes before the
-    reply.
+    On a reused connection that closes before the reply, libcurl would resend a POST.
     """
     curl.setopt(pycurl.FRESH_CONNECT, 1)
     curl.setopt(pycurl.FORBID_REUSE, 1)
@@ -210,24 +209,24 @@
 
 
 def unreachable(failures: Sequence[NoReply]) -> exits.UnreachableError:
-    """Return the error for calls that no node replied to."""
+    """Return the error for calls to which no node replied."""
     lines = [f"  {failure.node}: {failure.reason}" for failure in failures]
     return exits.UnreachableError("\n".join(["no node replied:", *lines]))
 
 
 def refused(reply: Reply) -> exits.RefusedError:
-    """Return the error for a reply that refuses."""
+    """Return the error for a reply that refuses the call."""
     message = reply.values.get("message") or reply.values.get("reason") or "refused"
     return exits.RefusedError(f"{code_text(reply.code)}: {message} ({reply.node})")
 
 
 def check_done(reply: Reply) -> None:
-    """End the command unless a node did what was asked.
+    """Raise an error unless a node did what was asked.
 
     Raises
     ------
     exits.UnreachableError
-        The node could not answer, for example because it is not ready.
+        The node failed to handle the call, for example because it is not ready.
     exits.RefusedError
         The node refused.
     """
@@ -241,5 +240,5 @@
 
 
 def quote(name: str) -> str:
-    """Return a name as one part of a path."""
+    """Return a name percent-encoded as one segment of a path."""
     return urllib.parse.quote(name, safe="")
--- a/clementinespar/commands/documents.py
+++ b/clementinespar/commands/documents.py
@@ -132,10 +132,10 @@
     timeout_s: float,
     as_json: bool,
 ) -> None:
-    """Show what publishing FILE, or without FILE what promoting, would change."""
+    """Show what publishing FILE would change, or without FILE, what promoting would."""
     new = None if path is None else _load(path)
     if path is None and environment is not None:
-        raise exits.BadInputError("--environment needs a FILE to compare with")
+        raise exits.BadInputError("--environment requires a FILE to compare with")
 
     async def action(admin: client.AdminClient) -> list[difference.Change] | None:
         compared = new
@@ -235,7 +235,7 @@
 
 
 class _Unchanged(Exception):
-    """The same document is in force already, so nothing is sent."""
+    """The document is already in force, so nothing is sent."""
 
     environment: str
     revision: int
@@ -272,7 +272,7 @@
         )
     else:
         click.echo(
-            f"the same document is in force in {unchanged.environment} already, "
+            f"the document is already in force in {unchanged.environment}, "
             f"revision {unchanged.revision}; nothing was sent"
         )
 
@@ -293,4 +293,4 @@
     if in_force_on := replies.texts(values, "in_force_on"):
         click.echo(f"on these nodes ({len(in_force_on)}): {', '.join(in_force_on)}")
     if missing := replies.texts(values, "not_in_force_on"):
-        click.echo(f"not yet on these ({len(missing)}): {', '.join(missing)}")
+        click.echo(f"not yet on these nodes ({len(missing)}): {', '.join(missing)}")
--- a/clementinespar/commands/exits.py
+++ b/clementinespar/commands/exits.py
@@ -1,4 +1,4 @@
-"""Exit statuses of the command line and the errors that lead to them."""
+"""Exit statuses of the command line and the errors that cause them."""
 
 import enum
 from collections.abc import Iterator, Sequence
@@ -10,12 +10,12 @@
 
 
 class ExitStatus(enum.IntEnum):
-    """What a script learns from the exit status of a command."""
+    """Exit status of a command."""
 
     DONE = 0
-    REFUSED = 1  # a node answered and refused
-    BAD_INPUT = 2  # settings, document or arguments; nothing was sent or started
-    UNREACHABLE = 3  # no node answered, or the result is not known
+    REFUSED = 1  # a node refused the command
+    BAD_INPUT = 2  # invalid settings, document or arguments; nothing sent or started
+    UNREACHABLE = 3  # no node replied, or the result is unknown
 
 
 class CommandError(click.ClickException):
@@ -25,25 +25,25 @@
 
 
 class BadInputError(CommandError):
-    """Settings, a document or arguments are not valid."""
+    """Settings, a document or arguments are invalid."""
 
     exit_code = int(ExitStatus.BAD_INPUT)
 
 
 class RefusedError(CommandError):
-    """A node answered and refused."""
+    """A node refused the command."""
 
     exit_code = int(ExitStatus.REFUSED)
 
 
 class UnreachableError(CommandError):
-    """No node answered, or the result of the command is not known."""
+    """No node replied, or the result of the command is unknown."""
 
     exit_code = int(ExitStatus.UNREACHABLE)
 
 
 def problem_lines(group: BaseExceptionGroup[BaseException]) -> Iterator[str]:
-    """Yield one line for each problem in a group, with its numbered code."""
+    """Yield one line for each problem in a group, with its result code."""
     for problem in group.exceptions:
         if isinstance(problem, BaseExceptionGroup):
             yield from problem_lines(problem)
@@ -56,7 +56,7 @@
 def fail_on_problems(
     groups: Sequence[BaseExceptionGroup[BaseException]],
 ) -> NoReturn:
-    """End the command and show every problem of every file at once."""
+    """Raise one error that shows all problems of all files."""
     lines: list[str] = []
     for group in groups:
         lines.append(f"{group.message}:")
--- a/clementinespar/commands/node.py
+++ b/clementinespar/commands/node.py
@@ -19,16 +19,16 @@
     help="INI file with the settings of this node.",
 )
 def run_node(path: pathlib.Path) -> None:
-    """Run one entry node until it is told to stop.
+    """Run an entry node until SIGTERM or SIGINT.
 
-    All settings are checked before anything starts; every bad one is reported and the
-    exit status is 2.
+    All settings are checked before anything starts. If any are invalid, all of them are
+    reported and the exit status is 2.
     """
     try:
         settings = options.load_settings(path)
     except ExceptionGroup as group:
         exits.fail_on_problems([group])
-    # Imported here because the client commands need neither gRPC nor the node's parts.
+    # Imported here because the other commands need neither gRPC nor the node's modules.
     from clementinespar import node
 
     sys.exit(node.run(settings))
@@ -39,11 +39,11 @@
     "paths", nargs=-1, required=True, type=click.Path(path_type=pathlib.Path)
 )
 def check_files(paths: tuple[pathlib.Path, ...]) -> None:
-    """Check settings (.ini) and documents (.toml) without a node."""
-    odd = [str(path) for path in paths if path.suffix not in (".ini", ".toml")]
-    if odd:
+    """Check settings (.ini) and documents (.toml) without calling a node."""
+    unsupported = [str(path) for path in paths if path.suffix not in (".ini", ".toml")]
+    if unsupported:
         raise exits.BadInputError(
-            f"{', '.join(odd)}: expected names that end in .ini or .toml"
+            f"{', '.join(unsupported)}: expected file names that end in .ini or .toml"
         )
     groups: list[ExceptionGroup[Exception]] = []
     for path in paths:
--- a/clementinespar/commands/replies.py
+++ b/clementinespar/commands/replies.py
@@ -1,6 +1,6 @@
-"""Reads the replies of the admin port, with tolerance for missing values.
+"""Reads the replies of the admin port; missing values are tolerated.
 
-A command line may be older or newer than the node that it asks.
+The command line may be older or newer than the node that it calls.
 """
 
 import dataclasses
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Publication:
-    """One line of the history of documents."""
+    """An entry in the history of documents."""
 
     environment: str
     revision: int
@@ -44,7 +44,7 @@
 
 
 def items(values: client.Json, key: str) -> list[Mapping[str, object]]:
-    """Return the objects under a key; a mapping gives its values with ``name`` set."""
+    """Return the objects in a list or mapping; keys of a mapping become ``name``."""
     found = values.get(key)
     if isinstance(found, Mapping):
         return [
@@ -76,7 +76,7 @@
 
 
 def texts(values: client.Json, key: str) -> list[str]:
-    """Return the list of texts under a key."""
+    """Return the list of texts under a key, empty if there is none."""
     found = values.get(key)
     if isinstance(found, Sequence) and not isinstance(found, str):
         return [str(item) for item in found]
--- a/clementinespar/commands/shared.py
+++ b/clementinespar/commands/shared.py
@@ -1,4 +1,4 @@
-"""Options and output that the client commands share."""
+"""Options and output shared by the commands that call nodes."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 def parse_nodes(
     _context: click.Context, _parameter: click.Parameter, values: tuple[str, ...]
 ) -> tuple[str, ...]:
-    """Check every ``IP:PORT`` of an option."""
+    """Check the ``IP:PORT`` values of an option."""
     for value in values:
         try:
             options.check_endpoint(value)
@@ -27,7 +27,7 @@
 
 
 def client_options(function: _F) -> _F:
-    """Add the options that every client command has."""
+    """Add the options that all commands that call nodes have."""
     for option in (
         click.option("--json", "as_json", is_flag=True, help="Print JSON for scripts."),
         click.option(
@@ -69,7 +69,7 @@
     timeout_s: float,
     action: Callable[[client.AdminClient], Awaitable[_T]],
 ) -> _T:
-    """Run an action on an event loop of its own and close its connections."""
+    """Run an action in a new event loop and close its connections."""
 
     async def main() -> _T:
         with client.connect(nodes, timeout_s) as admin:
--- a/clementinespar/commands/status.py
+++ b/clementinespar/commands/status.py
@@ -1,4 +1,4 @@
-"""Commands that show what the system does: status, plan and explain."""
+"""Commands that show the state of the fleet: status, plan and explain."""
 
 from collections.abc import Mapping, Sequence
 
@@ -7,8 +7,8 @@
 from clementinespar.commands import client, replies, shared, tables
 
 _SECTIONS = ("peers", "pools", "waves", "services")
-_LEAST_TIME_MS = 10**12  # values above are times of this century, not durations
-_NOT_SHOWN = frozenset({"incarnation"})  # of no use to a person; in --json
+_MIN_TIMESTAMP_MS = 10**12  # larger values are timestamps, others are durations
+_HIDDEN_KEYS = frozenset({"incarnation"})  # of no use to operators; in --json only
 _PATH_BY_SUBJECT = {
     "host": "/v1/hosts",
     "pool": "/v1/pools",
@@ -78,12 +78,12 @@
     timeout_s: float,
     as_json: bool,
 ) -> None:
-    """Tell why a host, pool, wave, request or job is in its state.
+    """Explain why a host, pool, wave, request or job is in its state.
 
-    A wave is named by its pool. What became of a request is known only to the node that
-    its caller asked, so all given nodes are asked for it.
+    A wave is named by its pool. The outcome of a request is known only to the node to
+    which its caller sent it, so all given nodes are asked.
     """
-    # Names have no characters that a path could not carry; ids of requests may.
+    # Ids of requests may contain characters that are not allowed in a path.
     path = f"{_PATH_BY_SUBJECT[subject]}/{client.quote(name)}"
 
     async def action(admin: client.AdminClient) -> client.Reply:
@@ -109,15 +109,16 @@
 
 
 def plan_lines(plan: client.Json) -> list[str]:
-    """Return the next actions of a plan, then why each pool is as it is."""
+    """Return the next actions of a plan, followed by the explanation of each pool."""
     lines = []
     for action, values in plan.items():
         if action.endswith("_by_pool"):
             continue
         for item in replies.items(plan, action):
-            shown = {key: value for key, value in item.items() if key != "name"}
+            details = {key: value for key, value in item.items() if key != "name"}
             lines.append(
-                f"next: {action.rstrip('s').replace('_', ' ')}: {_pairs(shown)}"
+                f"next: {action.rstrip('s').replace('_', ' ')}: "
+                f"{_format_pairs(details)}"
             )
         if isinstance(values, str):
             lines.append(f"{action}: {values}")
@@ -135,31 +136,34 @@
     for key, value in values.items():
         if key in _SECTIONS or not isinstance(value, Mapping):
             continue
-        shown = {
+        visible = {
             k: v
             for k, v in value.items()
-            if v not in (None, "", []) and k not in _NOT_SHOWN
+            if v not in (None, "", []) and k not in _HIDDEN_KEYS
         }
-        lines.append(f"{_title(key)}: {_pairs(shown)}")
+        lines.append(f"{_title(key)}: {_format_pairs(visible)}")
     return lines
 
 
 def table_of(rows: Sequence[Mapping[str, object]]) -> str:
-    """Return a table with one column for each value that any row has.
+    """Return a table with one column for each key that any row has.
 
-    Columns come from the reply, so a newer node shows its new values.
+    Columns come from the reply, so that new values of a newer node are shown.
     """
     columns = list(dict.fromkeys(key for row in rows for key in row))
     columns.sort(key=lambda column: column != "name")
     return tables.render(
         [_title(column).upper() for column in columns],
-        [[_shown(column, row.get(column)) for column in columns] for row in rows],
+        [
+            [_format_value(column, row.get(column)) for column in columns]
+            for row in rows
+        ],
     )
 
 
-def _pairs(values: Mapping[str, object]) -> str:
+def _format_pairs(values: Mapping[str, object]) -> str:
     return ", ".join(
-        f"{_title(key)} {tables.cell(_shown(key, value))}"
+        f"{_title(key)} {tables.cell(_format_value(key, value))}"
         for key, value in values.items()
     )
 
@@ -168,8 +172,8 @@
     return key.removeprefix("is_").removesuffix("_ms").replace("_", " ")
 
 
-def _shown(key: str, value: object) -> object:
-    if key.endswith("_ms") and isinstance(value, int) and value > _LEAST_TIME_MS:
+def _format_value(key: str, value: object) -> object:
+    if key.endswith("_ms") and isinstance(value, int) and value > _MIN_TIMESTAMP_MS:
         return replies.time_text(value)
     if isinstance(value, Mapping):
         return [f"{key}={tables.cell(item)}" for key, item in value.items()]
--- a/clementinespar/commands/submissions.py
+++ b/clementinespar/commands/submissions.py
@@ -1,8 +1,8 @@
-"""Sends a publication or promotion once and finds out what became of it.
+"""Sends a publication or promotion and determines its result.
 
 A reply may be lost after the record took effect, so the history is read back before
-anything is sent again. Sending again is then safe: the record names the revision that
-it replaces, so at most one of two can take effect.
+anything is resent. Resending is then safe: the record names the revision that it
+replaces, so at most one of the two takes effect.
 """
 
 import asyncio
@@ -12,10 +12,10 @@
 from clementinespar.commands import client, exits, replies
 
 _READ_BACK_INTERVAL_S = 0.5
-# A node may still be appending when its reply is lost; after this wait it has given up.
+# A node may still be appending when its reply is lost; after this time it has given up.
 READ_BACK_S = 6.0
 
-# The node's own reply says that the record may or may not have taken effect.
+# Replies with these codes leave it open whether the record took effect.
 _UNCERTAIN_CODES = frozenset(
     {codes.ResultCode.LOG_REPLY_LOST, codes.ResultCode.INTERNAL_ERROR}
 )
@@ -25,21 +25,21 @@
 class Submission:
     """A change of the document of an environment."""
 
-    environment: str  # environment that changes
+    environment: str  # environment to change
     path: str  # path of the POST
     body: client.Json
-    replaces: int  # revision that the operator saw
+    replaces: int  # revision that the change replaces
     author: str
-    document: object  # plain values that are in force if it took effect
+    document: object  # plain values of the document that the change puts into force
 
 
 async def submit(admin: client.AdminClient, submission: Submission) -> client.Reply:
-    """Send a submission and return the reply that tells what became of it.
+    """Send a submission and return the reply with its result.
 
     Raises
     ------
     exits.UnreachableError
-        No node replied, or the result is not known.
+        No node replied, or the result is unknown.
     """
     failures: list[client.NoReply] = []
     is_uncertain = False
@@ -48,8 +48,8 @@
         result = await admin.call(node, "POST", submission.path, body=submission.body)
         if isinstance(result, client.Reply) and result.code not in _UNCERTAIN_CODES:
             if result.status < 500:
-                return await _settle(admin, submission, result, is_uncertain)
-            last_error = result  # not ready or no log: certainly without effect
+                return await _resolve(admin, submission, result, is_uncertain)
+            last_error = result  # not ready or log unavailable: it had no effect
             continue
         if isinstance(result, client.NoReply):
             failures.append(result)
@@ -63,11 +63,11 @@
         if found is not None:
             return found
         if isinstance(result, client.Reply):
-            break  # the node lives and its log does not reply; others share that log
+            break  # the node replies, its log does not; all nodes share that log
     if is_uncertain:
         raise exits.UnreachableError(
-            "the reply was lost and the history does not show the change (yet); look "
-            "at the history before you repeat the command"
+            "the reply was lost and the history does not show the change (yet); check "
+            "the history before you repeat the command"
         )
     if last_error is not None:
         raise exits.UnreachableError(
@@ -77,15 +77,18 @@
     raise client.unreachable(failures)
 
 
-async def _settle(
+async def _resolve(
     admin: client.AdminClient,
     submission: Submission,
     reply: client.Reply,
     is_uncertain: bool,
 ) -> client.Reply:
-    """Return a reply, or the success of an earlier attempt whose reply was lost."""
+    """Return a reply, or the result of an earlier attempt whose reply was lost.
+
+    After a lost reply, a conflict may be with that attempt itself.
+    """
     if is_uncertain and reply.code == codes.ResultCode.DOCUMENT_CONFLICT:
-        return await _find(admin, submission) or reply
+        return await _find_result(admin, submission) or reply
     return reply
 
 
@@ -93,20 +96,21 @@
     admin: client.AdminClient, submission: Submission
 ) -> client.Reply | None:
     loop = asyncio.get_running_loop()
-    until = loop.time() + READ_BACK_S
+    deadline = loop.time() + READ_BACK_S
     while True:
-        found = await _find(admin, submission)
-        if found is not None or loop.time() >= until:
+        found = await _find_result(admin, submission)
+        if found is not None or loop.time() >= deadline:
             return found
         await asyncio.sleep(_READ_BACK_INTERVAL_S)
 
 
-async def _find(
+async def _find_result(
     admin: client.AdminClient, submission: Submission
 ) -> client.Reply | None:
-    """Return what the history says of a submission, or None if it says nothing.
+    """Return the result of a submission from the history, or None if it has none.
 
-    Only one publication can have replaced a revision: this one or one that won.
+    Only one publication can have replaced a revision: this one, or the one that won a
+    conflict.
     """
     path = f"/v1/documents/{submission.environment}"
     try:
@@ -121,7 +125,7 @@
         return None
     is_own = publication.author == submission.author
     if is_own and in_force.values.get("revision") == publication.revision:
-        # The same operator may have sent another document from another terminal.
+        # The same author may have published another document from another terminal.
         is_own = in_force.values.get("document") == submission.document
     code = codes.ResultCode.OK if is_own else codes.ResultCode.DOCUMENT_CONFLICT
     values = {
--- a/clementinespar/commands/tables.py
+++ b/clementinespar/commands/tables.py
@@ -4,7 +4,7 @@
 
 
 def render(header: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
-    """Return a table with aligned columns; empty cells show as ``-``."""
+    """Return a table with aligned columns; empty cells are shown as ``-``."""
     lines = [tuple(header), *(tuple(cell(value) for value in row) for row in rows)]
     widths = [max(len(line[i]) for line in lines) for i in range(len(header))]
     return "\n".join(
