--- a/clementinespar/tests/fleets.py
+++ b/clementinespar/tests/fleets.py
@@ -1,4 +1,4 @@
-"""Small fleets and folds, shared by the tests of pools, waves and capacity."""
+"""Small fleets and folds for the tests of pools, waves and capacity."""
 
 import asyncio
 import collections
@@ -24,7 +24,8 @@
 from clementinespar.waves import runner as wave_runner
 from standins import fake_log, fake_platform
 
-EPOCH_MS = 1_700_000_000_000  # a wall time, so that hosts never maintained are late
+# Wall time at the start, long enough after 0 for hosts without maintenance to be late.
+EPOCH_MS = 1_700_000_000_000
 
 
 def make_document(
@@ -38,7 +39,7 @@
     weights: model.Weights | None = None,
     **maintenance: Any,
 ) -> model.Document:
-    """Return a document; the place of host ``c1r2-x`` is rack r2 of data centre c1."""
+    """Return a document; host ``c1r2-x`` is in rack r2 of data centre c1."""
     hosts = {
         host_id: model.Host(data_centre=host_id[:2], rack=host_id[2:4])
         for host_ids in pools.values()
@@ -70,7 +71,7 @@
 
 
 def host_ids(name: str, count: int, data_centres: int = 2, racks: int = 2) -> list[str]:
-    """Return host ids spread over data centres and racks in turn."""
+    """Return host ids spread evenly over data centres and racks."""
     return [
         f"c{i % data_centres}r{i // data_centres % racks}-{name}{i}"
         for i in range(count)
@@ -78,7 +79,7 @@
 
 
 class Fold:
-    """A folded state to which records are applied one by one."""
+    """A fold to which records are applied one by one."""
 
     def __init__(self) -> None:
         self.state = fleet_state.FleetState()
@@ -105,7 +106,7 @@
         )
 
     def add(self, record_type: type[base.Record], **fields: Any) -> codes.ResultCode:
-        """Make a record, with the newest host revision by default, and apply it."""
+        """Make and apply a record, by default with the current revision of its host."""
         if "host_revision" in record_type.model_fields:
             host = self.state.pools.hosts_by_id.get(fields["host_id"])
             fields.setdefault("host_revision", -1 if host is None else host.revision)
@@ -121,7 +122,7 @@
 
 
 def check_budget(state: fleet_state.FleetState, taken: pools_state.HostState) -> None:
-    """Check I1 after an accepted host_taken_out of a host that was in service."""
+    """Check I1, the budget, after a host that was in service was taken out."""
     document = state.documents.production
     assert document is not None
     limits = document.pools[taken.pool].budget
@@ -150,7 +151,7 @@
 
 
 def seeds_of(document: model.Document) -> list[fake_platform.HostSeed]:
-    """Return the platform's hosts for a document."""
+    """Return the hosts of a document as hosts of the fake platform."""
     return [
         fake_platform.HostSeed(i, place.data_centre, place.rack, name)
         for name, pool in document.pools.items()
@@ -160,7 +161,7 @@
 
 
 def full_list(document: model.Document, observed_ms: int) -> platform_service.HostList:
-    """Return a list in which all hosts of a document are live."""
+    """Return a host list in which all hosts of a document are live."""
     return platform_service.HostList(
         observed_ms,
         {
@@ -174,7 +175,7 @@
 
 @dataclasses.dataclass
 class FixedHostList:
-    """Host list that tests set."""
+    """Host list whose content and age are set by tests."""
 
     latest: platform_service.HostList | None
     age_s: float = 0.0
@@ -182,7 +183,7 @@
 
 @dataclasses.dataclass
 class FixedDemand:
-    """Demand that tests set."""
+    """Demand source whose values are set by tests."""
 
     slots_by_service: dict[str, float] = dataclasses.field(default_factory=dict)
     refused_per_s: float = 0.0
@@ -204,7 +205,7 @@
 
 @dataclasses.dataclass
 class FleetNode:
-    """One node with all that plans and carries hosts."""
+    """A node with the components that plan and execute host operations."""
 
     log_node: log_nodes.LogNode
     watcher: platform_watcher.HostListWatcher
@@ -218,7 +219,7 @@
         return self.log_node.follower.state
 
     async def run_rounds(self, duration_s: float) -> None:
-        """Run both runners once a second."""
+        """Run a round of both runners every second."""
         for _ in range(int(duration_s)):
             await self.waves.run_round()
             await self.capacity.run_round()
--- a/clementinespar/tests/log_nodes.py
+++ b/clementinespar/tests/log_nodes.py
@@ -1,4 +1,4 @@
-"""A node's follower and appender on a fake log, shared by the tests of all slices."""
+"""Follower and appender of a node on a fake log, for the tests of all packages."""
 
 import contextlib
 import dataclasses
@@ -19,10 +19,10 @@
 
 @dataclasses.dataclass(slots=True)
 class LogNode:
-    """One node's access to the log."""
+    """A node's access to the log."""
 
     name: str
-    access: fake_log.LogAccess  # fault switches of this node only
+    access: fake_log.LogAccess  # with fault switches for this node only
     follower: log_follower.Follower
     appender: log_appender.Appender
 
@@ -32,7 +32,7 @@
         return self.access.log
 
     def duty_record(self, duty: str, lease_ms: int = 1000) -> duty_messages.DutyClaimed:
-        """Return a small valid record of this node."""
+        """Return a valid record of this node."""
         issued_ms = self.appender.now_ms()
         return duty_messages.DutyClaimed(
             record_id=identifiers.new_id(issued_ms),
@@ -50,7 +50,7 @@
     relay: log_relay.PeerRelay | None = None,
     poll_wait_s: float = 1.0,
 ) -> AsyncIterator[LogNode]:
-    """Run a follower and give it with an appender of the same node."""
+    """Run a node's follower, and yield it with the node's appender."""
     access = fake_log.LogAccess(log)
     follower = log_follower.Follower(access, relay, poll_wait_s)
     appender = log_appender.Appender(access, follower, name, 0.005, wall_ms=log.now_ms)
@@ -62,9 +62,9 @@
 def with_nodes(
     *names: str,
 ) -> Callable[[Callable[..., Coroutine[Any, Any, None]]], Callable[..., None]]:
-    """Run a test on a paused clock with a fake log and nodes of these names.
+    """Return a decorator that runs a test on a paused clock with nodes on a fake log.
 
-    The test takes the nodes as its first arguments.
+    The nodes, one for each name, are passed as the first arguments of the test.
     """
 
     def decorate(
@@ -83,7 +83,8 @@
         def run(**arguments: Any) -> None:
             paused_clock.run(main(arguments))
 
-        # pytest passes the arguments that the signature shows.
+        # pytest passes fixtures for the parameters in the signature; it must not see
+        # those of the nodes.
         parameters = list(inspect.signature(test).parameters.values())
         run.__signature__ = inspect.Signature(  # type: ignore[attr-defined]
             parameters[len(names) :]
@@ -94,9 +95,9 @@
 
 
 class NodeRelay:
-    """Serves one node's followers from another, as the peer protocol does."""
+    """Relays entries and snapshots of another node, as the peer protocol does."""
 
-    peer: LogNode | None  # node that answers, None while none is reachable
+    peer: LogNode | None  # node that replies, None while no node is reachable
 
     def __init__(self, peer: LogNode | None = None) -> None:
         self.peer = peer
@@ -108,13 +109,13 @@
     async def fetch_entries(
         self, from_offset: int, limit: int
     ) -> Sequence[log_service.LogEntry]:
-        """Return entries that the peer keeps."""
+        """Return recent entries of the peer."""
         if self.peer is None:
             raise errors.ClementinesparError(
-                codes.ResultCode.PEER_UNAVAILABLE, "no peer answers"
+                codes.ResultCode.PEER_UNAVAILABLE, "no peer is reachable"
             )
         return self.peer.follower.recent_entries(from_offset, limit)
 
     async def fetch_snapshot(self) -> tuple[int, bytes] | None:
-        """Return the state of the peer."""
+        """Return a snapshot of the peer's state."""
         return None if self.peer is None else self.peer.follower.snapshot()
--- a/clementinespar/tests/node_fleet.py
+++ b/clementinespar/tests/node_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet in one process: stand-ins and nodes over loopback sockets."""
+"""Small fleet in one process: stand-ins and nodes over loopback sockets."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
         for i in range(6)
         for side in (1, 2)
     },
-    # A pool for each service: services of one pool have the same owner.
+    # One pool per service, because the services of a pool have the same owner.
     "pools": {
         f"p{i}": {
             "host_ids": [f"h{i}1", f"h{i}2"],
@@ -51,7 +51,7 @@
     """A node in a process of its own."""
 
     child: asyncio.subprocess.Process
-    line: dict[str, Any]  # what it printed when it was ready
+    line: dict[str, Any]  # JSON that it printed when it was ready
 
 
 class Fleet:
@@ -65,7 +65,7 @@
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator["Fleet"]:
-        """Run the stand-ins."""
+        """Run the stand-ins while the context is entered."""
         self._client = httpclient.AsyncHTTPClient(force_instance=True, max_clients=100)
         async with contextlib.AsyncExitStack() as stack:
             self.log = fake_log.FakeLog()
@@ -114,7 +114,7 @@
     async def node(
         self, name: str, *seeds: entry_node.Node, stop_limit_s: float = 30.0
     ) -> AsyncIterator[entry_node.Node]:
-        """Run a node that knows other nodes; it need not be ready yet."""
+        """Run a node with other nodes as seeds, without waiting until it is ready."""
         endpoints = tuple(f"127.0.0.1:{seed.ports['peers']}" for seed in seeds)
         node = entry_node.Node(self.settings(name, endpoints, stop_limit_s))
         async with node.running():
@@ -125,7 +125,7 @@
     async def process(
         self, name: str, *seeds: entry_node.Node, stop_limit_s: float = 30.0
     ) -> AsyncIterator[NodeProcess]:
-        """Run a node as a process of its own and wait until it is ready."""
+        """Run a node in its own process and wait until its seeds see it as ready."""
         endpoints = ", ".join(f"127.0.0.1:{seed.ports['peers']}" for seed in seeds)
         settings = self.settings(name)
         with tempfile.TemporaryDirectory() as directory:
@@ -149,7 +149,7 @@
             assert child.stdout is not None
             try:
                 line = json.loads(await child.stdout.readline())
-                await self.until(lambda: all(_sees(seed, name) for seed in seeds))
+                await self.wait_until(lambda: all(_sees(seed, name) for seed in seeds))
                 yield NodeProcess(child, line)
             finally:
                 if child.returncode is None:
@@ -158,7 +158,7 @@
 
     @contextlib.asynccontextmanager
     async def nodes(self, count: int) -> AsyncIterator[list[entry_node.Node]]:
-        """Run nodes that are ready, know each other and have the document."""
+        """Run nodes that are ready, know each other and have the document in force."""
         async with contextlib.AsyncExitStack() as stack:
             nodes: list[entry_node.Node] = []
             for i in range(count):
@@ -167,14 +167,14 @@
                 )
             for node in nodes:
                 assert await node.wait_ready()
-            await self.until(
+            await self.wait_until(
                 lambda: all(
                     len(node.peers.members.live_peers()) == count - 1 for node in nodes
                 )
             )
             reply = await self.publish(nodes[0], "production", 0)
             assert reply["code"] == 0, reply
-            await self.until(
+            await self.wait_until(
                 lambda: all(
                     [c.node for c in node.peers.candidates("service-0")]
                     == [c.node for c in nodes[0].peers.candidates("service-0")]
@@ -184,8 +184,8 @@
             )
             yield nodes
 
-    async def until(self, condition: Callable[[], bool]) -> None:
-        """Wait for a condition; the limit only keeps a broken test from hanging."""
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Wait for a condition; the timeout keeps a failing test from hanging."""
         async with asyncio.timeout(30):
             while not condition():
                 await asyncio.sleep(0.01)
@@ -193,7 +193,7 @@
     async def admin(
         self, node: entry_node.Node, path: str, body: object = None
     ) -> tuple[int, dict[str, Any]]:
-        """Call the admin port; a body makes it a POST."""
+        """Call the admin port of a node, with POST if there is a body."""
         response = await self._client.fetch(
             f"http://127.0.0.1:{node.ports['admin']}{path}",
             method="GET" if body is None else "POST",
@@ -209,7 +209,7 @@
         replaces: int,
         author: str = "op",
     ) -> dict[str, Any]:
-        """Publish the document."""
+        """Publish `DOCUMENT` in an environment and return the reply."""
         body = {"replaces": replaces, "author": author, "document": DOCUMENT}
         return (await self.admin(node, f"/v1/documents/{environment}", body))[1]
 
@@ -222,7 +222,7 @@
         request_id: str | None = None,
         port: int | None = None,
     ) -> httpclient.HTTPResponse:
-        """Send a caller's request; ``port`` is that of a node in a process."""
+        """Send a caller's request; ``port`` overrides the callers' port of ``node``."""
         headers = {} if request_id is None else {"X-Request-Id": request_id}
         port = node.ports["callers"] if port is None else port
         return await self._client.fetch(
@@ -236,7 +236,7 @@
 
 
 def _sees(node: entry_node.Node, name: str) -> bool:
-    """Whether a node counts another one among the possible owners."""
+    """Return whether a node sees another one as live and ready."""
     return any(
         peer.name == name and peer.report.is_ready
         for peer in node.peers.members.live_peers()
--- a/clementinespar/tests/paused_clock.py
+++ b/clementinespar/tests/paused_clock.py
@@ -1,7 +1,8 @@
-"""An event loop whose clock stands still until all tasks wait.
+"""Event loop whose clock is paused until all tasks wait.
 
-Time then jumps to the next timer, so tests with timeouts run at once and always the
-same way. Code under test uses ``asyncio.get_running_loop().time()`` as its only clock.
+The clock then jumps to the next timer, so that tests with timeouts take no real time
+and are deterministic. Code under test must use ``asyncio.get_running_loop().time()`` as
+its only clock.
 """
 
 import asyncio
@@ -15,11 +16,11 @@
 
 
 class DeadlockError(Exception):
-    """All tasks wait and no timer is set."""
+    """All tasks wait and no timer is set, so the test would never end."""
 
 
 class _JumpingSelector(selectors.DefaultSelector):
-    """Returns at once and counts the time that a real selector would have waited."""
+    """Returns at once and adds up the time that a real selector would have waited."""
 
     jumped_s: float = 0.0  # event-loop time since the start
 
@@ -35,7 +36,7 @@
 
 
 class PausedClockLoop(asyncio.SelectorEventLoop):
-    """Event loop with a paused clock that starts at 1000 s."""
+    """Event loop on a paused clock that starts at 1000 s."""
 
     _jumping_selector: _JumpingSelector
 
@@ -49,7 +50,7 @@
 
 
 def test(scenario: Callable[_P, Coroutine[Any, Any, None]]) -> Callable[_P, None]:
-    """Turn a coroutine function into a test that runs on a paused clock."""
+    """Return a test that runs a coroutine function on a paused clock."""
 
     @functools.wraps(scenario)
     def run_scenario(*args: _P.args, **kwargs: _P.kwargs) -> None:
--- a/clementinespar/tests/test_invariants_page.py
+++ b/clementinespar/tests/test_invariants_page.py
@@ -39,7 +39,7 @@
 
 
 def test_every_invariant_names_a_test() -> None:
-    """Guards against an invariant that is left out of the page."""
+    """Guards against an invariant that is missing on the page or names no test."""
     sections = re.split(r"^##+ ", _PAGE, flags=re.MULTILINE)
     for number in range(1, 9):
         [section] = [s for s in sections if s.startswith(f"I{number}:")]
--- a/clementinespar/tests/test_node.py
+++ b/clementinespar/tests/test_node.py
@@ -1,4 +1,4 @@
-"""Tests of whole nodes with the stand-ins."""
+"""Tests of complete nodes with the stand-ins."""
 
 import asyncio
 import collections
@@ -13,31 +13,34 @@
 from clementinespar.tests import node_fleet
 
 
-def _owns(node: entry_node.Node, name: str, service: str) -> bool:
-    """Whether a node sees another one as the owner of a service's queue."""
+def _sees_as_owner(node: entry_node.Node, name: str, service: str) -> bool:
+    """Return whether a node sees another one as the owner of a service's queue."""
     return node.peers.candidates(service)[0].node == name
 
 
-def _owned_by(nodes: list[entry_node.Node], name: str) -> str:
+def _service_owned_by(nodes: list[entry_node.Node], name: str) -> str:
     """Return a service whose queue a node owns."""
     for i in range(6):
-        if _owns(nodes[0], name, f"service-{i}"):
+        if _sees_as_owner(nodes[0], name, f"service-{i}"):
             return f"service-{i}"
     raise AssertionError(f"{name} owns no service")
 
 
-async def _until_running(f: node_fleet.Fleet, count: int = 1) -> None:
-    await f.until(lambda: sum(state.busy_slots for state in f.targets) == count)
+async def _wait_until_running(fleet: node_fleet.Fleet, count: int = 1) -> None:
+    await fleet.wait_until(
+        lambda: sum(state.busy_slots for state in fleet.targets) == count
+    )
 
 
 def test_requests_reach_targets_through_any_node() -> None:
-    # Guards against requests that only work when their ingress owns the queue.
+    """Guards against requests that fail unless the node that got them is the owner."""
+
     async def main() -> None:
-        async with node_fleet.Fleet().running() as f, f.nodes(3) as nodes:
+        async with node_fleet.Fleet().running() as fleet, fleet.nodes(3) as nodes:
             for i in range(6):
                 for node in nodes:
                     for kind in ("read", "order"):
-                        response = await f.request(node, f"service-{i}", kind)
+                        response = await fleet.request(node, f"service-{i}", kind)
                         assert response.code == 200, response.body
                         assert response.headers["X-Outcome"] == "answered"
             owners = {nodes[0].peers.candidates(f"service-{i}")[0] for i in range(6)}
@@ -47,22 +50,23 @@
 
 
 def test_stopping_owner_finishes_work_and_hands_its_queues_over() -> None:
-    # Guards against a planned stop that cuts off or refuses requests.
+    """Guards against a planned stop that aborts or refuses requests."""
+
     async def main() -> None:
-        async with node_fleet.Fleet().running() as f, f.nodes(3) as nodes:
+        async with node_fleet.Fleet().running() as fleet, fleet.nodes(3) as nodes:
             ingress, owner = nodes[0], nodes[2]
-            service = _owned_by(nodes, "n2")
+            service = _service_owned_by(nodes, "n2")
             running = [
-                asyncio.create_task(f.request(node, service, "order", run_ms=600))
+                asyncio.create_task(fleet.request(node, service, "order", run_ms=600))
                 for node in (ingress, owner)
             ]
-            await _until_running(f, 2)
+            await _wait_until_running(fleet, 2)
             owner.request_stop()
             stopping = asyncio.create_task(owner.stop())
             await asyncio.sleep(0)
-            assert (await f.admin(owner, "/readyz"))[0] == 503
+            assert (await fleet.admin(owner, "/readyz"))[0] == 503
             while not stopping.done():
-                response = await f.request(ingress, service, "read")
+                response = await fleet.request(ingress, service, "read")
                 assert response.code == 200, response.body
             await stopping
             assert owner.aborted_request_ids == []
@@ -72,20 +76,22 @@
     asyncio.run(main())
 
 
-def test_stop_at_its_limit_reports_what_it_cuts() -> None:
+def test_stop_at_its_limit_reports_aborted_requests() -> None:
+    """Guards against a stop that hides requests which exceed its limit."""
+
     async def main() -> None:
         async with (
-            node_fleet.Fleet().running() as f,
-            f.nodes(2) as nodes,
-            f.node("short", nodes[0], stop_limit_s=0.3) as short,
+            node_fleet.Fleet().running() as fleet,
+            fleet.nodes(2) as nodes,
+            fleet.node("short", nodes[0], stop_limit_s=0.3) as short,
         ):
             await short.wait_ready()
-            service = _owned_by(nodes, "n1")
+            service = _service_owned_by(nodes, "n1")
             request_id = identifiers.new_id()
             task = asyncio.create_task(
-                f.request(short, service, "order", 5_000, request_id)
+                fleet.request(short, service, "order", 5_000, request_id)
             )
-            await _until_running(f)
+            await _wait_until_running(fleet)
             short.request_stop()
             await short.stop()
             assert short.aborted_request_ids == [request_id]
@@ -95,13 +101,14 @@
 
 
 def test_node_started_in_a_log_outage_takes_its_state_from_a_peer() -> None:
-    # Guards against a node that serves with less than the others have.
+    """Guards against a node that serves with an older state than the other nodes."""
+
     async def main() -> None:
-        async with node_fleet.Fleet().running() as f, f.nodes(2) as nodes:
-            f.log.faults.down = True
-            async with f.node("late", nodes[0]) as late:
+        async with node_fleet.Fleet().running() as fleet, fleet.nodes(2) as nodes:
+            fleet.log.faults.down = True
+            async with fleet.node("late", nodes[0]) as late:
                 offset = nodes[0].follower.state.offset
-                while (await f.request(late, "service-0")).code != 200:
+                while (await fleet.request(late, "service-0")).code != 200:
                     await asyncio.sleep(0.01)
                 assert late.follower.state.offset >= offset
                 assert not late.follower.is_log_answering
@@ -110,15 +117,17 @@
 
 
 def test_node_without_log_and_peers_never_serves() -> None:
+    """Guards against a node that runs requests without having read the state."""
+
     async def main() -> None:
-        async with node_fleet.Fleet().running() as f:
-            f.log.faults.down = True
-            async with f.node("alone") as alone:
-                await f.until(lambda: bool(alone.follower.last_error))
-                status, reply = await f.admin(alone, "/readyz")
+        async with node_fleet.Fleet().running() as fleet:
+            fleet.log.faults.down = True
+            async with fleet.node("alone") as alone:
+                await fleet.wait_until(lambda: bool(alone.follower.last_error))
+                status, reply = await fleet.admin(alone, "/readyz")
                 assert status == 503
                 assert reply["name"] == "NOT_READY"
-                response = await f.request(alone, "service-0")
+                response = await fleet.request(alone, "service-0")
                 assert response.headers["X-Outcome"] == "not-run"
 
     asyncio.run(main())
@@ -127,8 +136,10 @@
 def test_document_reaches_a_node_that_cannot_read_the_log(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Guards against an old document staying in force while the log is unavailable."""
+
     async def main() -> None:
-        async with node_fleet.Fleet().running() as f, f.nodes(3) as nodes:
+        async with node_fleet.Fleet().running() as fleet, fleet.nodes(3) as nodes:
             cut_off = nodes[2]
 
             async def read(*_: object) -> None:
@@ -136,7 +147,7 @@
 
             monkeypatch.setattr(cut_off.follower._log_service, "read", read)
             revision = cut_off.follower.state.documents.revision_of("production")
-            reply = await f.publish(nodes[0], "production", revision)
+            reply = await fleet.publish(nodes[0], "production", revision)
             assert reply["code"] == 0
             assert sorted(reply["in_force_on"]) == ["n0", "n1", "n2"]
             assert reply["not_in_force_on"] == []
@@ -147,11 +158,13 @@
 
 
 def test_process_prints_its_ports_and_stops_on_sigterm() -> None:
+    """Guards against scripts that cannot find the ports, or log lines on stdout."""
+
     async def main() -> None:
         async with (
-            node_fleet.Fleet().running() as f,
-            f.nodes(1) as nodes,
-            f.process("proc", *nodes) as process,
+            node_fleet.Fleet().running() as fleet,
+            fleet.nodes(1) as nodes,
+            fleet.process("proc", *nodes) as process,
         ):
             assert process.line["name"] == "proc"
             for use in ("callers", "admin", "peers"):
@@ -166,22 +179,26 @@
     asyncio.run(main())
 
 
-def test_second_signal_reports_what_it_cuts() -> None:
+def test_second_signal_reports_aborted_requests() -> None:
+    """Guards against an abort that waits for requests or does not report them."""
+
     async def main() -> None:
         async with (
-            node_fleet.Fleet().running() as f,
-            f.nodes(1) as nodes,
-            f.process("proc", *nodes) as process,
+            node_fleet.Fleet().running() as fleet,
+            fleet.nodes(1) as nodes,
+            fleet.process("proc", *nodes) as process,
         ):
             request_id = identifiers.new_id()
             port = process.line["callers_port"]
-            service = _owned_by(nodes, "proc")
+            service = _service_owned_by(nodes, "proc")
             task = asyncio.create_task(
-                f.request(nodes[0], service, "order", 20_000, request_id, port)
+                fleet.request(nodes[0], service, "order", 20_000, request_id, port)
             )
-            await _until_running(f)
+            await _wait_until_running(fleet)
             process.child.send_signal(signal.SIGTERM)
-            await f.until(lambda: not _owns(nodes[0], "proc", service))
+            await fleet.wait_until(
+                lambda: not _sees_as_owner(nodes[0], "proc", service)
+            )
             process.child.send_signal(signal.SIGTERM)
             _, err = await process.child.communicate()
             assert process.child.returncode == 1
@@ -198,35 +215,43 @@
 
 @pytest.mark.parametrize("is_killed", [True, False], ids=["killed", "frozen"])
 def test_owner_that_dies_leaves_each_outcome_exact(is_killed: bool) -> None:
-    # A request that must not repeat is unknown; a started one is not sent again; what
-    # comes later goes to the new owner.
+    """Guards against a repeated run or a false outcome when the owner fails.
+
+    The outcome of a started request that is not repeatable is unknown. Later requests
+    go to the new owner.
+    """
+
     async def main() -> None:
         async with (
-            node_fleet.Fleet().running() as f,
-            f.nodes(2) as nodes,
-            f.process("proc", nodes[0], nodes[1]) as process,
+            node_fleet.Fleet().running() as fleet,
+            fleet.nodes(2) as nodes,
+            fleet.process("proc", nodes[0], nodes[1]) as process,
         ):
-            service = _owned_by(nodes, "proc")
+            service = _service_owned_by(nodes, "proc")
             started_id = identifiers.new_id()
             started = asyncio.create_task(
-                f.request(nodes[0], service, "order", 1_500, started_id)
+                fleet.request(nodes[0], service, "order", 1_500, started_id)
             )
-            await _until_running(f)
+            await _wait_until_running(fleet)
             process.child.send_signal(signal.SIGKILL if is_killed else signal.SIGSTOP)
             late_id = identifiers.new_id()
-            late = await f.request(nodes[1], service, "order", 5, late_id)
+            late = await fleet.request(nodes[1], service, "order", 5, late_id)
             assert (await started).headers["X-Outcome"] == "unknown"
-            await f.until(lambda: not _owns(nodes[1], "proc", service))
+            await fleet.wait_until(
+                lambda: not _sees_as_owner(nodes[1], "proc", service)
+            )
             for kind in ("read", "order"):
-                response = await f.request(nodes[1], service, kind)
+                response = await fleet.request(nodes[1], service, kind)
                 assert response.headers["X-Outcome"] == "answered", response.body
             if not is_killed:
                 process.child.send_signal(signal.SIGCONT)
-                await f.until(lambda: _owns(nodes[1], "proc", service))
-                response = await f.request(nodes[1], service, "order")
+                await fleet.wait_until(
+                    lambda: _sees_as_owner(nodes[1], "proc", service)
+                )
+                response = await fleet.request(nodes[1], service, "order")
                 assert response.headers["X-Outcome"] == "answered", response.body
             runs: collections.Counter[str] = collections.Counter()
-            for state in f.targets:
+            for state in fleet.targets:
                 runs += state.runs_by_request_id
             assert runs[started_id] == 1
             assert runs[late_id] <= (0 if late.headers["X-Outcome"] == "not-run" else 1)
@@ -235,32 +260,35 @@
 
 
 def test_superseded_node_stops_by_itself() -> None:
-    # Guards against two nodes that write records under one name.
+    """Guards against two nodes that append records under the same name."""
+
     async def main() -> None:
-        async with node_fleet.Fleet().running() as f, f.nodes(2) as nodes:
+        async with node_fleet.Fleet().running() as fleet, fleet.nodes(2) as nodes:
             predecessor = nodes[1]
-            async with f.node(predecessor.name, nodes[0]) as successor:
+            async with fleet.node(predecessor.name, nodes[0]) as successor:
                 assert await successor.wait_ready()
                 await predecessor.wait_stop()
                 await predecessor.stop()
                 endpoint = f"127.0.0.1:{successor.ports['peers']}"
-                await f.until(
+                await fleet.wait_until(
                     lambda: (
                         [p.member.endpoint for p in nodes[0].peers.members.peers()]
                         == [endpoint]
                     )
                 )
-                assert (await f.request(nodes[0], "service-0")).code == 200
+                assert (await fleet.request(nodes[0], "service-0")).code == 200
 
     asyncio.run(main())
 
 
 def test_conflict_names_the_winner() -> None:
+    """Guards against a conflict that hides its winner, or a wrong revision promoted."""
+
     async def main() -> None:
-        async with node_fleet.Fleet().running() as f, f.nodes(2) as nodes:
+        async with node_fleet.Fleet().running() as fleet, fleet.nodes(2) as nodes:
             replies = await asyncio.gather(
-                f.publish(nodes[0], "trial", 0, "ada"),
-                f.publish(nodes[1], "trial", 0, "bob"),
+                fleet.publish(nodes[0], "trial", 0, "ada"),
+                fleet.publish(nodes[1], "trial", 0, "bob"),
             )
             won, lost = sorted(replies, key=lambda reply: int(reply["code"]))
             assert won["code"] == codes.ResultCode.OK
@@ -270,13 +298,13 @@
             trial_revision = won["revision"]
             production = nodes[0].follower.state.documents.revision_of("production")
             body = {"replaces": production, "author": "ada"}
-            status, reply = await f.admin(
+            status, reply = await fleet.admin(
                 nodes[1],
                 "/v1/promotions",
                 body | {"trial_revision": trial_revision + 1},
             )
             assert (status, reply["name"]) == (409, "DOCUMENT_NOT_ON_TRIAL")
-            status, reply = await f.admin(
+            status, reply = await fleet.admin(
                 nodes[1], "/v1/promotions", body | {"trial_revision": trial_revision}
             )
             assert status == 200
@@ -286,16 +314,17 @@
 
 
 def test_publication_names_the_nodes_that_it_did_not_reach() -> None:
-    # Guards against "in force everywhere" while a known node is cut off.
+    """Guards against a reply that leaves out a known node that is unresponsive."""
+
     async def main() -> None:
         async with (
-            node_fleet.Fleet().running() as f,
-            f.nodes(2) as nodes,
-            f.process("proc", *nodes) as process,
+            node_fleet.Fleet().running() as fleet,
+            fleet.nodes(2) as nodes,
+            fleet.process("proc", *nodes) as process,
         ):
             process.child.send_signal(signal.SIGSTOP)
             revision = nodes[0].follower.state.documents.revision_of("production")
-            reply = await f.publish(nodes[0], "production", revision)
+            reply = await fleet.publish(nodes[0], "production", revision)
             assert reply["code"] == 0
             assert reply["in_force_on"] == ["n0", "n1"]
             assert reply["not_in_force_on"] + reply["not_reached"] == ["proc"]
@@ -304,11 +333,13 @@
 
 
 def test_reads_of_the_admin_port() -> None:
+    """Guards against paths that fail on a running node or lack expected fields."""
+
     async def main() -> None:
-        async with node_fleet.Fleet().running() as f, f.nodes(2) as nodes:
+        async with node_fleet.Fleet().running() as fleet, fleet.nodes(2) as nodes:
             request_id = identifiers.new_id()
-            await f.request(nodes[0], "service-0", "read", request_id=request_id)
-            status, reply = await f.admin(nodes[0], "/v1/status")
+            await fleet.request(nodes[0], "service-0", "read", request_id=request_id)
+            status, reply = await fleet.admin(nodes[0], "/v1/status")
             assert status == 200
             assert [peer["name"] for peer in reply["peers"]] == ["n1"]
             assert [pool["available"] for pool in reply["pools"]] == [2] * 6
@@ -318,7 +349,7 @@
                 ("/v1/pools/p0", "pool p0"),
                 (f"/v1/requests/{request_id}", f"request {request_id}"),
             ):
-                status, reply = await f.admin(nodes[0], path)
+                status, reply = await fleet.admin(nodes[0], path)
                 assert status == 200, reply
                 assert reply["subject"].startswith(subject)
                 assert {"state", "waits_for", "because", "code"} <= set(reply)
@@ -330,7 +361,7 @@
                 "/livez",
                 "/readyz",
             ):
-                assert (await f.admin(nodes[0], path))[0] == 200
+                assert (await fleet.admin(nodes[0], path))[0] == 200
 
     asyncio.run(main())
 
@@ -371,10 +402,12 @@
 def test_errors_of_the_admin_port(
     path: str, body: object, status: int, name: str
 ) -> None:
+    """Guards against errors without the right HTTP status, code and message."""
+
     async def main() -> None:
-        async with node_fleet.Fleet().running() as f, f.node("n0") as node:
+        async with node_fleet.Fleet().running() as fleet, fleet.node("n0") as node:
             assert await node.wait_ready()
-            got, reply = await f.admin(node, path, body)
+            got, reply = await fleet.admin(node, path, body)
             assert (got, reply["name"]) == (status, name)
             assert reply["code"] == codes.ResultCode[name]
             assert reply["message"]
--- a/clementinespar/tests/test_operations_page.py
+++ b/clementinespar/tests/test_operations_page.py
@@ -10,7 +10,7 @@
 
 
 def test_every_metric_has_an_alarm() -> None:
-    """Guards against alarms on metrics that are gone, and metrics without an alarm."""
+    """Guards against alarms on removed metrics, and metrics without an alarm."""
     named = set(re.findall(r"clementinespar_[a-z_]+", _PAGE))
     defined = set()
     for family in metrics.REGISTRY.collect():
@@ -21,7 +21,7 @@
 
 
 def test_commands_on_the_page_exist() -> None:
-    """Guards against a page that names commands which operators cannot run."""
+    """Guards against a page that names commands which do not exist."""
     named = set(re.findall(r"`clementinespar ([a-z]+)", _PAGE))
     assert named <= set(cli.main.commands)
     assert {"status", "explain", "plan", "history", "diff"} <= named
--- a/clementinespar/tests/test_options.py
+++ b/clementinespar/tests/test_options.py
@@ -39,7 +39,7 @@
 
 
 def test_valid_settings_are_read(tmp_path: pathlib.Path) -> None:
-    """Guards against a valid file being refused or a list being read as one text."""
+    """Guards against a valid file being refused, or a list not being split."""
     _write(tmp_path / "node.ini", {})
     settings = options.load_settings(tmp_path / "node.ini")
     assert settings.peers.seeds == ("10.0.0.1:1", "[::1]:2")
@@ -78,7 +78,7 @@
     value: str | None,
     code: codes.ResultCode,
 ) -> None:
-    """Guards against a bad setting being accepted or reported at another place."""
+    """Guards against an invalid setting being accepted or another one being named."""
     _write(tmp_path / "node.ini", {section: {key: value}})
     (problem,) = _problems(tmp_path / "node.ini")
     assert problem[0] == code
@@ -92,7 +92,7 @@
 
 
 def test_all_problems_are_reported_at_once(tmp_path: pathlib.Path) -> None:
-    """Guards against combinations being checked only once single values are valid."""
+    """Guards against combinations being checked only when all values are valid."""
     _write(
         tmp_path / "node.ini",
         {
--- a/clementinespar/tests/test_result_codes.py
+++ b/clementinespar/tests/test_result_codes.py
@@ -10,7 +10,7 @@
 
 
 def test_table_and_code_are_equal() -> None:
-    """Guards against a code that operators cannot look up, or a stale row."""
+    """Guards against a code without a row in the table, or a row without a code."""
     rows = [
         match.groups()
         for line in _TABLE.read_text().splitlines()
