--- a/clementinespar/admin/views.py
+++ b/clementinespar/admin/views.py
@@ -174,7 +174,7 @@
             raise UnknownSubjectError(
                 codes.ResultCode.REQUEST_INVALID,
                 "this node has received no recent request with this id; ask the node "
-                "to which the caller sent it",
+                "that its caller asked",
             )
         return explained
 
--- a/clementinespar/commands/documents.py
+++ b/clementinespar/commands/documents.py
@@ -135,7 +135,7 @@
     """Show what publishing FILE would change, or without FILE, what promoting would."""
     new = None if path is None else _load(path)
     if path is None and environment is not None:
-        raise exits.BadInputError("--environment requires a FILE to compare with")
+        raise exits.BadInputError("--environment needs a FILE to compare with")
 
     async def action(admin: client.AdminClient) -> list[difference.Change] | None:
         compared = new
--- a/clementinespar/commands/tests/fake_admin.py
+++ b/clementinespar/commands/tests/fake_admin.py
@@ -1,4 +1,4 @@
-"""A tiny admin port in a thread, with replies that a test gives."""
+"""Fake admin port in a thread, with replies from a test's function."""
 
 import asyncio
 import contextlib
@@ -17,15 +17,16 @@
 
 @dataclasses.dataclass(slots=True)
 class FakeAdmin:
-    """What a test sees of the port."""
+    """Address of the fake admin port and the calls that it received."""
 
     node: str = ""  # IP:port
+    # Methods and paths.
     calls: list[tuple[str, str]] = dataclasses.field(default_factory=list)
 
 
 @contextlib.contextmanager
 def serve(handle: Handle) -> Iterator[FakeAdmin]:
-    """Serve an admin port; ``handle`` returns None to break the connection."""
+    """Serve an admin port; the connection is closed if ``handle`` returns None."""
     fake = FakeAdmin()
     started = threading.Event()
     stop: list[Callable[[], object]] = []
--- a/clementinespar/commands/tests/test_commands.py
+++ b/clementinespar/commands/tests/test_commands.py
@@ -26,19 +26,19 @@
 
 
 class _Documents:
-    """Documents of a fake node, with faults that a test asks for."""
+    """Documents of a fake node, with faults that a test sets."""
 
     in_force: dict[str, dict[str, Any]]
     history: list[dict[str, Any]]
-    loses_replies: int  # replies to POST that get lost
-    loses_effects: int  # of these, how many take no effect
-    posts: list[dict[str, Any]]
+    lost_replies: int  # number of next POSTs whose reply is lost
+    lost_effects: int  # number of next POSTs that have no effect
+    posts: list[dict[str, Any]]  # bodies
 
     def __init__(self) -> None:
         self.in_force = {}
         self.history = []
-        self.loses_replies = 0
-        self.loses_effects = 0
+        self.lost_replies = 0
+        self.lost_effects = 0
         self.posts = []
 
     def put(self, environment: str, replaces: int, author: str, document: Any) -> int:
@@ -76,15 +76,15 @@
             return 200, {"code": 0, **self.in_force[environment]}
         assert body is not None
         self.posts.append(body)
-        if self.loses_effects:
-            self.loses_effects -= 1
+        if self.lost_effects:
+            self.lost_effects -= 1
         else:
             document = body.get("document") or self.in_force["trial"]["document"]
             code = self.put(environment, body["replaces"], body["author"], document)
             if code:
                 return 409, {"code": code, "message": "late", "winner": "other"}
-        if self.loses_replies:
-            self.loses_replies -= 1
+        if self.lost_replies:
+            self.lost_replies -= 1
             return None
         revision = self.in_force[environment]["revision"]
         return 200, {"code": 0, "revision": revision, "in_force_on": ["n1"]}
@@ -115,7 +115,7 @@
 
 
 def test_publish_and_promote_put_a_document_into_force() -> None:
-    """Guards against commands that do not fit together or hide the revision."""
+    """Guards against commands that disagree about the document or its revision."""
     with _documents() as (documents, node):
         assert _publish(node).exit_code == exits.ExitStatus.DONE
         again = _publish(node)
@@ -135,7 +135,7 @@
 
 
 def test_conflict_is_refused_and_names_the_winner() -> None:
-    """Guards against a racing operator's document being overwritten unseen."""
+    """Guards against overwriting a document that another operator just published."""
     with _documents() as (documents, node):
         documents.put("trial", 0, "bob", {**_PLAIN, "user": "other"})
         result = _publish(node, "--replaces", "0")
@@ -143,41 +143,41 @@
         assert "DOCUMENT_CONFLICT" in result.output
 
 
-@pytest.mark.parametrize("loses_effects", [0, 1])
+@pytest.mark.parametrize("lost_effects", [0, 1])
 def test_lost_reply_is_read_back_before_anything_is_repeated(
-    loses_effects: int,
+    lost_effects: int,
 ) -> None:
-    """Guards against a second publication, or a wrong failure, after a lost reply."""
+    """Guards against a second publication, or a false failure, after a lost reply."""
     with _documents() as (documents, node):
-        documents.loses_replies = 1
-        documents.loses_effects = loses_effects
+        documents.lost_replies = 1
+        documents.lost_effects = lost_effects
         result = _publish(node, "--node", node)
         assert result.exit_code == exits.ExitStatus.DONE, result.output
-        assert len(documents.posts) == 1 + loses_effects
+        assert len(documents.posts) == 1 + lost_effects
         assert [p["code"] for p in documents.history] == [0]
 
 
-def test_lost_reply_without_trace_is_unknown() -> None:
-    """Guards against reporting success or refusal of what nobody knows."""
+def test_lost_reply_without_effect_in_the_history_is_unknown() -> None:
+    """Guards against reporting success or refusal when the result is unknown."""
     with _documents() as (documents, node):
-        documents.loses_replies = documents.loses_effects = 1
+        documents.lost_replies = documents.lost_effects = 1
         result = _publish(node)
         assert result.exit_code == exits.ExitStatus.UNREACHABLE
         assert "history" in result.output
 
 
 def test_lost_reply_of_a_losing_publication_is_a_conflict() -> None:
-    """Guards against taking another operator's success for one's own."""
+    """Guards against reporting another operator's publication as one's own."""
     with _documents() as (documents, node):
         documents.put("trial", 0, "bob", {**_PLAIN, "user": "other"})
-        documents.loses_replies = documents.loses_effects = 1
+        documents.lost_replies = documents.lost_effects = 1
         result = _publish(node, "--replaces", "0")
         assert result.exit_code == exits.ExitStatus.REFUSED
         assert "bob" in result.output
 
 
 def test_log_that_does_not_reply_ends_the_command() -> None:
-    """Guards against sending through every node what the shared log may have taken."""
+    """Guards against resending through other nodes what the log may have appended."""
     reply = {"code": 501, "name": "LOG_REPLY_LOST", "message": "no reply"}
     posts: list[str] = []
 
@@ -196,15 +196,15 @@
 
 
 def test_next_node_is_tried_when_one_is_down() -> None:
-    """Guards against one dead node keeping operators out."""
+    """Guards against commands that fail while one node is down."""
     with _documents() as (_, node):
-        dead = _unused_node()
-        result = _publish(dead, "--node", node)
+        down = _unused_node()
+        result = _publish(down, "--node", node)
         assert result.exit_code == exits.ExitStatus.DONE, result.output
 
 
-def test_silent_node_is_tried_last_from_then_on() -> None:
-    """Guards against every call of a command waiting for the same silent node."""
+def test_unresponsive_node_is_tried_last_from_then_on() -> None:
+    """Guards against each call of a command waiting for the same node again."""
     admin = client.AdminClient(["10.0.0.1:1", "10.0.0.2:2", "10.0.0.3:3"], 1.0)
     admin.try_last("10.0.0.1:1")
     assert admin.nodes == ("10.0.0.2:2", "10.0.0.3:3", "10.0.0.1:1")
@@ -226,14 +226,14 @@
     ],
 )
 def test_exit_statuses(arguments: tuple[str, ...], status: int) -> None:
-    """Guards against scripts that cannot tell refusal and bad input apart."""
+    """Guards against exit statuses by which scripts misjudge a failure."""
     node = _unused_node()
     result = _run(*(node if a == "NODE" else a for a in arguments))
     assert result.exit_code == status, result.output
 
 
 def test_check_reports_problems_of_all_files(tmp_path: pathlib.Path) -> None:
-    """Guards against the first bad file hiding the others."""
+    """Guards against the first invalid file hiding problems of the others."""
     (tmp_path / "node.ini").write_text("[node]\nname = n\n")
     (tmp_path / "d.toml").write_text("user = 1\n")
     result = _run("check", str(tmp_path / "node.ini"), str(tmp_path / "d.toml"))
@@ -255,7 +255,7 @@
 
 
 def test_explain_asks_every_node_about_a_request() -> None:
-    """Guards against a wrong "not known" from a node that the caller did not ask."""
+    """Guards against "not known" from a node that did not receive the request."""
     explanation = {
         "subject": "request 1-a",
         "state": "refused",
@@ -333,7 +333,7 @@
 def test_tables_show_what_a_node_replies(
     command: str, reply: dict[str, Any], lines: list[str]
 ) -> None:
-    """Guards against parts of a reply that a person does not get to see."""
+    """Guards against parts of a reply that are missing in the output for people."""
     with fake_admin.serve(lambda *_: (200, reply)) as admin:
         shown = _run(command, "--node", admin.node)
         as_json = _run(command, "--node", admin.node, "--json")
