--- a/clementinespar/codes.py
+++ b/clementinespar/codes.py
@@ -68,7 +68,7 @@
     ANSWER_MISMATCH = 403
     OWNER_LOST = 404
     ALREADY_CLAIMED = 405
-    REQUEST_FAILED_REPEATEDLY = 406  # formerly 315, which stays unused
+    REQUEST_FAILED_REPEATEDLY = 406  # formerly 315, which wrongly meant not run
     REQUEST_ID_EXPIRED = 407
 
     # 5xx: the platform and peers.
--- a/clementinespar/tests/fleets.py
+++ b/clementinespar/tests/fleets.py
@@ -153,10 +153,10 @@
 def seeds_of(document: model.Document) -> list[fake_platform.HostSeed]:
     """Return the hosts of a document as hosts of the fake platform."""
     return [
-        fake_platform.HostSeed(i, place.data_centre, place.rack, name)
+        fake_platform.HostSeed(i, host.data_centre, host.rack, name)
         for name, pool in document.pools.items()
         for i in pool.host_ids
-        for place in [document.hosts[i]]
+        for host in [document.hosts[i]]
     ]
 
 
@@ -166,9 +166,9 @@
         observed_ms,
         {
             i: platform_service.ListedHost(
-                i, place.data_centre, place.rack, "127.0.0.1", 1, "live"
+                i, host.data_centre, host.rack, "127.0.0.1", 1, "live"
             )
-            for i, place in document.hosts.items()
+            for i, host in document.hosts.items()
         },
     )
 
