--- a/clementinespar/jobs/node.py
+++ b/clementinespar/jobs/node.py
@@ -47,7 +47,7 @@
         self,
         settings: options.JobNodeSettings,
         parts: PlatformParts,
-        caller: http_calls.HttpCaller,
+        caller: http_calls.HttpClient,
         log_event: services.EventLog,
     ) -> None:
         self.metrics = telemetry.JobMetrics()
--- a/clementinespar/jobs/service.py
+++ b/clementinespar/jobs/service.py
@@ -30,7 +30,7 @@
     ownership_manager: ownership.OwnershipManager
     configuration: services.ConfigurationSource
     _store: services.JobStore
-    _caller: http_calls.HttpCaller
+    _caller: http_calls.HttpClient
     _waiting_by_queue: dict[str, tuple[float, int]]
     _sent_at: dict[str, float]  # job id: event-loop time of its pending append
     _unanswered_since: float  # event-loop time of the first append without an answer
@@ -41,7 +41,7 @@
         ownership_manager: ownership.OwnershipManager,
         configuration: services.ConfigurationSource,
         store: services.JobStore,
-        caller: http_calls.HttpCaller,
+        caller: http_calls.HttpClient,
     ) -> None:
         self.ownership_manager = ownership_manager
         self.configuration = configuration
--- a/clementinespar/jobs/tests/test_service.py
+++ b/clementinespar/jobs/tests/test_service.py
@@ -38,7 +38,7 @@
             self.ownership_manager,
             NoConfiguration(),
             self.store,
-            http_calls.HttpCaller(),
+            http_calls.HttpClient(),
         )
 
     def set_unavailable(self, is_unavailable: bool) -> None:
