--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized soak: the real program in separate processes, with faults from outside."""
+"""Randomized soak test: nodes as separate processes, with injected faults."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the soak: ``python -m soak --seed N`` or ``--seeds N`` for fresh ones."""
+"""Runs the soak: ``python -m soak --seed N``, or ``--seeds N`` for random seeds."""
 
 import asyncio
 import pathlib
@@ -12,8 +12,8 @@
 from clementinespar_adapter import standin
 from soak import callers, faults, fleet
 
-SETTLE_S = 30.0  # after the last fault, in which all accepted jobs must be done
-LIMIT_S = 75.0  # after the time of faults, a seed that has not ended has failed
+SETTLE_TIMEOUT_S = 30.0  # for accepted jobs to end after the last fault
+TIMEOUT_MARGIN_S = 75.0  # for a seed to end after its time of faults
 POOLS = {"work": 4}
 REGRESSION_SEEDS = pathlib.Path(__file__).with_name("regression_seeds.txt")
 CONFIGURATION = {
@@ -34,9 +34,9 @@
 }
 
 
-async def play(seed: int, seconds: float, node_count: int) -> list[str]:
-    """Play one seed; return what was broken."""
-    chance = random.Random(seed)
+async def run_seed(seed: int, seconds: float, node_count: int) -> list[str]:
+    """Run one seed; return the problems found."""
+    rng = random.Random(seed)
     platform = standin.Platform()
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     platform.put("keyed.op", "config", CONFIGURATION)
@@ -45,23 +45,23 @@
         fleet.run_nodes(node_count, folder, store) as nodes,
     ):
         await wait_ready(nodes)
-        crowd = callers.Callers(platform, nodes, random.Random(seed + 1))
-        injector = faults.Injector(platform, nodes, chance)
+        load = callers.Callers(platform, nodes, random.Random(seed + 1))
+        injector = faults.Injector(platform, nodes, rng)
         async with asyncio.TaskGroup() as group:
-            group.create_task(crowd.run(seconds))
+            group.create_task(load.run(seconds))
             group.create_task(injector.run(seconds))
-        injector.heal()
-        problems = await settle(platform, crowd)
+        injector.end_faults()
+        problems = await settle(platform, load)
     problems += platform.violations
-    if not crowd.accepted:
+    if not load.accepted:
         problems.append("no job was accepted")
     problems += [
-        f"{job_id} was refused and ran"
-        for job_id in sorted(crowd.refused & platform.started_jobs)
+        f"{job_id} was refused, but its tasks started"
+        for job_id in sorted(load.refused & platform.started_jobs)
     ]
     click.echo(
-        f"seed {seed}: {injector.count} faults, {len(crowd.accepted)} jobs accepted,"
-        f" {len(crowd.refused)} refused, {platform.starts} starts,"
+        f"seed {seed}: {injector.count} faults, {len(load.accepted)} jobs accepted,"
+        f" {len(load.refused)} refused, {platform.starts} starts,"
         f" {len(problems)} problems, logs in {folder}"
     )
     return problems
@@ -81,60 +81,71 @@
                 break
 
 
-async def settle(platform: standin.Platform, crowd: callers.Callers) -> list[str]:
-    """Wait until each accepted job has its final state; return what has not."""
+async def settle(platform: standin.Platform, load: callers.Callers) -> list[str]:
+    """Wait until accepted jobs have their final state; return those without it."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + SETTLE_S
-    missing: dict[str, str] = dict.fromkeys(sorted(crowd.accepted), "")
-    while missing and loop.time() < end:
-        for job_id in list(missing):
-            missing[job_id] = state = await crowd.read_state(job_id)
-            is_right = state == "done" or (
-                state == "cancelled" and job_id in crowd.cancelled
+    end = loop.time() + SETTLE_TIMEOUT_S
+    unfinished: dict[str, str] = dict.fromkeys(sorted(load.accepted), "")
+    while unfinished and loop.time() < end:
+        for job_id in list(unfinished):
+            unfinished[job_id] = state = await load.read_state(job_id)
+            is_final = state == "done" or (
+                state == "cancelled" and job_id in load.cancelled
             )
-            if is_right or (job_id in platform.lasting and state == "running"):
-                del missing[job_id]
+            if is_final or (job_id in platform.lasting and state == "running"):
+                del unfinished[job_id]
         await asyncio.sleep(0.2)
-    return [f"{job_id} is shown as {state}" for job_id, state in missing.items()]
+    return [
+        f"{job_id} was accepted, but its last reported state is {state}"
+        for job_id, state in unfinished.items()
+    ]
 
 
 def read_regression_seeds(path: pathlib.Path) -> list[int]:
-    """Return the first word of each line that is no comment."""
+    """Return the seeds of a file, the first word of each line but comments."""
     lines = path.read_text().splitlines()
     return [int(line.split()[0]) for line in lines if line and line[0] != "#"]
 
 
 @click.command()
-@click.option("--seed", type=int, help="Play this seed.")
-@click.option("--seeds", default=1, show_default=True, help="Play so many fresh seeds.")
-@click.option("--regressions", is_flag=True, help="Play the seeds that failed once.")
-@click.option("--seconds", default=15.0, show_default=True, help="Time of faults.")
-@click.option("--nodes", default=4, show_default=True, help="Processes of the program.")
+@click.option("--seed", type=int, help="Run this seed.")
+@click.option(
+    "--seeds", default=1, show_default=True, help="Run this many random seeds."
+)
+@click.option("--regressions", is_flag=True, help="Run the seeds of known failures.")
+@click.option(
+    "--seconds", default=15.0, show_default=True, help="Duration of fault injection."
+)
+@click.option("--nodes", default=4, show_default=True, help="Number of nodes.")
 def main(
     seed: int | None, seeds: int, regressions: bool, seconds: float, nodes: int
 ) -> None:
-    """Play seeds and fail if a promise was broken."""
+    """Run seeds and fail if a guarantee of the product was violated."""
     signal.signal(signal.SIGPIPE, signal.SIG_IGN)
     if regressions:
-        chosen = read_regression_seeds(REGRESSION_SEEDS)
+        selected_seeds = read_regression_seeds(REGRESSION_SEEDS)
     elif seed is not None:
-        chosen = [seed]
+        selected_seeds = [seed]
     else:
-        chosen = [secrets.randbits(31) for _ in range(seeds)]
-    broken = []
-    for number in chosen:
+        selected_seeds = [secrets.randbits(31) for _ in range(seeds)]
+    failed_seeds = []
+    for number in selected_seeds:
         try:
             problems = asyncio.run(
-                asyncio.wait_for(play(number, seconds, nodes), seconds + LIMIT_S)
+                asyncio.wait_for(
+                    run_seed(number, seconds, nodes), seconds + TIMEOUT_MARGIN_S
+                )
             )
         except TimeoutError:
-            problems = ["the seed did not end in time"]
+            problems = ["the seed did not end before its timeout"]
         for problem in problems[:10]:
             click.echo(f"  {problem}")
         if problems:
-            broken.append(number)
-    click.echo(f"{len(chosen) - len(broken)} passed, {len(broken)} failed")
-    if broken:
+            failed_seeds.append(number)
+    click.echo(
+        f"{len(selected_seeds) - len(failed_seeds)} passed, {len(failed_seeds)} failed"
+    )
+    if failed_seeds:
         raise click.exceptions.Exit(1)
 
 
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Nodes of the real program as processes."""
+"""Nodes of the product as processes of their own."""
 
 import asyncio
 import contextlib
@@ -36,18 +36,18 @@
     """Return free ports of the loopback address."""
     sockets = [socket.socket() for _ in range(count)]
     try:
-        for held in sockets:
-            held.bind(("127.0.0.1", 0))
-        return [int(held.getsockname()[1]) for held in sockets]
+        for bound in sockets:
+            bound.bind(("127.0.0.1", 0))
+        return [int(bound.getsockname()[1]) for bound in sockets]
     finally:
-        for held in sockets:
-            held.close()
+        for bound in sockets:
+            bound.close()
 
 
 class Node:
     """One node: its settings, its proxy to the store, its process."""
 
-    callers: str  # IP:port
+    callers: str  # ``IP:port`` for callers
     store_proxy: proxy.Proxy
     process: subprocess.Popen[bytes] | None
 
@@ -72,7 +72,7 @@
         )
 
     def start(self) -> None:
-        """Start the process, unless it runs."""
+        """Start the process unless it is running."""
         if self.process is not None and self.process.poll() is None:
             return
         with self._log.open("ab") as output:
@@ -85,7 +85,7 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to this process, if it runs."""
+        """Send a signal to the process if it is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
@@ -94,7 +94,7 @@
 async def run_nodes(
     count: int, folder: pathlib.Path, store: str
 ) -> AsyncIterator[list[Node]]:
-    """Run nodes while the context is entered; kill them by their ids at the end."""
+    """Run nodes while the context is entered; kill their processes at the end."""
     async with contextlib.AsyncExitStack() as stack:
         nodes = []
         for number in range(count):
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that delays, resets, cuts one way or silences."""
+"""TCP proxy on loopback that delays or drops bytes, or resets connections."""
 
 import asyncio
 import contextlib
@@ -10,22 +10,22 @@
 
 
 class Mode(enum.Enum):
-    """What happens to bytes."""
+    """What the proxy does to connections."""
 
     PASS = "pass"
     DELAY = "delay"
-    RESET = "reset"  # connections break at once
-    CUT_BACK = "cut_back"  # requests arrive, answers do not
-    SILENT = "silent"  # nothing arrives; old connections stay silent for good
+    RESET = "reset"  # connections are reset at once
+    CUT_BACK = "cut_back"  # requests are forwarded, answers are dropped
+    SILENT = "silent"  # all bytes are dropped, on open connections for good
 
 
 class Proxy:
-    """One proxy; the mode is set from outside."""
+    """One proxy; the fault injector sets its mode."""
 
     mode: Mode
     port: int
     _target: tuple[str, int]
-    _silenced: set[asyncio.StreamWriter]
+    _dropping: set[asyncio.StreamWriter]
     _writers: set[asyncio.StreamWriter]
 
     def __init__(self, target: str) -> None:
@@ -33,14 +33,14 @@
         self.mode = Mode.PASS
         self.port = 0
         self._target = (host, int(port))
-        self._silenced = set()
+        self._dropping = set()
         self._writers = set()
 
     def set_mode(self, mode: Mode) -> None:
         """Apply a mode to new and open connections."""
         self.mode = mode
         if mode is Mode.SILENT:
-            self._silenced |= self._writers
+            self._dropping |= self._writers
         elif mode is Mode.RESET:
             for writer in self._writers:
                 writer.transport.abort()
@@ -48,36 +48,39 @@
     async def handle(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Carry one connection."""
+        """Proxy one connection."""
         if self.mode is Mode.RESET:
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self._target)
+            target_reader, target_writer = await asyncio.open_connection(*self._target)
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, far_writer}
+        self._writers |= {writer, target_writer}
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._carry(reader, far_writer, is_back=False))
-                group.create_task(self._carry(far_reader, writer, is_back=True))
+                group.create_task(self._forward(reader, target_writer, is_answer=False))
+                group.create_task(self._forward(target_reader, writer, is_answer=True))
         except* (OSError, asyncio.IncompleteReadError):
-            pass  # a broken connection breaks on both sides
+            pass  # the other side of a broken connection is aborted below
         finally:
-            for end in (writer, far_writer):
+            for end in (writer, target_writer):
                 end.transport.abort()
                 self._writers.discard(end)
-                self._silenced.discard(end)
+                self._dropping.discard(end)
 
-    async def _carry(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_back: bool
+    async def _forward(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        is_answer: bool,
     ) -> None:
         while data := await reader.read(CHUNK_BYTES):
             if self.mode is Mode.DELAY:
                 await asyncio.sleep(DELAY_S)
-            is_cut = is_back and self.mode is Mode.CUT_BACK
-            if is_cut or self.mode is Mode.SILENT or writer in self._silenced:
+            is_dropped = is_answer and self.mode is Mode.CUT_BACK
+            if is_dropped or self.mode is Mode.SILENT or writer in self._dropping:
                 continue
             writer.write(data)
             await writer.drain()
