--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -85,19 +85,19 @@
     """Wait until accepted jobs have their final state; return those without it."""
     loop = asyncio.get_running_loop()
     end = loop.time() + SETTLE_TIMEOUT_S
-    unfinished: dict[str, str] = dict.fromkeys(sorted(load.accepted), "")
-    while unfinished and loop.time() < end:
-        for job_id in list(unfinished):
-            unfinished[job_id] = state = await load.read_state(job_id)
+    missing: dict[str, str] = dict.fromkeys(sorted(load.accepted), "")
+    while missing and loop.time() < end:
+        for job_id in list(missing):
+            missing[job_id] = state = await load.read_state(job_id)
             is_final = state == "done" or (
                 state == "cancelled" and job_id in load.cancelled
             )
             if is_final or (job_id in platform.lasting and state == "running"):
-                del unfinished[job_id]
+                del missing[job_id]
         await asyncio.sleep(0.2)
     return [
         f"{job_id} was accepted, but its last reported state is {state}"
-        for job_id, state in unfinished.items()
+        for job_id, state in missing.items()
     ]
 
 
@@ -112,7 +112,7 @@
 @click.option(
     "--seeds", default=1, show_default=True, help="Run this many random seeds."
 )
-@click.option("--regressions", is_flag=True, help="Run the seeds of known failures.")
+@click.option("--regressions", is_flag=True, help="Run the seeds that failed before.")
 @click.option(
     "--seconds", default=15.0, show_default=True, help="Duration of fault injection."
 )
@@ -137,7 +137,7 @@
                 )
             )
         except TimeoutError:
-            problems = ["the seed did not end before its timeout"]
+            problems = ["the seed did not end in time"]
         for problem in problems[:10]:
             click.echo(f"  {problem}")
         if problems:
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -97,7 +97,7 @@
                 self.not_stored.discard(job_id)
                 break
             if status in (429, 503) and job_id in self.not_stored:
-                # Not counted after an unanswered attempt, which may have stored the job.
+                # Does not count after an unanswered attempt, which may have stored it.
                 self.refused.add(job_id)
                 self.not_stored.discard(job_id)
                 return
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -82,8 +82,8 @@
 
     async def _restart(self, node: fleet.Node) -> None:
         await self._wait_duration()
-        # Does not wait for the old process: an overlapping fault may have replaced it by
-        # one that does not end.
+        # Does not wait for the old process: an overlapping fault may have replaced it
+        # by one that does not end.
         node.start()
 
     async def _pause(self) -> None:
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the platform and of targets, for the demo, tests and bench."""
+"""Stand-ins of the platform and of targets, for tests, the demo and the benches."""
--- a/standins/fake_log.py
+++ b/standins/fake_log.py
@@ -21,18 +21,18 @@
 class Faults:
     """Fault switches; all are off by default."""
 
-    down: bool = False  # refuse appends and reads at once
-    silent: bool = False  # take calls without effect; the client times out
-    # Time until a client gives up a silent call, None if the log is served over HTTP to
+    down: bool = False  # refuses appends and reads at once
+    silent: bool = False  # calls have no effect and no answer; the client times out
+    # Timeout of a client that gets no answer; None if the log is served over HTTP to
     # clients with timeouts of their own.
     client_timeout_s: float | None = 2.0
     slow_ms: float = 0.0  # delay before an append or read is served
-    lose_replies: int = 0  # appends from now on that take effect without a reply
+    lose_replies: int = 0  # number of next appends that take effect without a reply
     late_ms: float = 0.0  # delay until an append with a lost reply takes effect
-    visible_end: int | None = None  # reads see only offsets below, as from an old copy
+    visible_end: int | None = None  # reads see only lower offsets, as of a stale copy
 
-    async def meet(self, is_append: bool) -> None:
-        """Delay, hang or refuse a call as the switches say."""
+    async def apply(self, is_append: bool) -> None:
+        """Delay a call, leave it unanswered or refuse it, as the switches say."""
         if self.slow_ms > 0:
             await asyncio.sleep(self.slow_ms / 1000)
         if self.silent:
@@ -41,13 +41,17 @@
                     await asyncio.Event().wait()
             except TimeoutError:
                 if is_append:
-                    raise errors.LogReplyLostError("the log is silent") from None
-                raise errors.LogUnavailableError("the log is silent") from None
+                    raise errors.LogReplyLostError(
+                        "the log did not answer (fault switch silent)"
+                    ) from None
+                raise errors.LogUnavailableError(
+                    "the log did not answer (fault switch silent)"
+                ) from None
         if self.down:
             raise errors.LogUnavailableError("the log is down")
 
-    def take_lost_reply(self) -> bool:
-        """Whether the reply to the append that is being served is lost."""
+    def use_lost_reply(self) -> bool:
+        """Return whether the current append loses its reply, and count it."""
         if self.lose_replies > 0:
             self.lose_replies -= 1
             return True
@@ -60,8 +64,8 @@
     Parameters
     ----------
     epoch_ms : int, optional
-        Wall time in milliseconds that the first use of the log stands for; the real
-        wall time by default.
+        Wall time in milliseconds at the first use of the log; the real wall time by
+        default.
     retention_entries : int, optional
         Number of newest entries kept; all by default.
     retention_ms : int, optional
@@ -74,7 +78,7 @@
     retention_entries: int | None  # newest entries kept, None for all
     retention_ms: int | None  # age up to which entries are kept, None for any
     max_appends_per_s: float | None  # rate limit, None for no limit
-    append_count: int  # appends that took effect, whatever became of the reply
+    append_count: int  # appends that took effect, with or without a reply
     read_count: int  # reads received
 
     _entries: collections.deque[service.LogEntry]  # kept entries in offset order
@@ -82,8 +86,8 @@
     _epoch_ms: int | None  # wall time at the first use
     _epoch_loop_s: float | None  # loop time at the first use
     _last_ms: int  # timestamp of the newest append
-    _allowance: float  # appends allowed now under the rate limit
-    _allowance_s: float  # loop time at which the allowance was computed
+    _tokens: float  # appends that the rate limit allows now
+    _tokens_updated_s: float  # loop time at which `_tokens` was computed
     _appended: asyncio.Event  # set and replaced at every append
 
     def __init__(
@@ -105,8 +109,8 @@
         self._epoch_ms = epoch_ms
         self._epoch_loop_s = None
         self._last_ms = 0
-        self._allowance = 0.0
-        self._allowance_s = float("-inf")
+        self._tokens = 0.0
+        self._tokens_updated_s = float("-inf")
         self._appended = asyncio.Event()
 
     @property
@@ -130,14 +134,14 @@
 
     async def append(self, payloads: Sequence[bytes]) -> int:
         """Append payloads in one call and return the offset of the first one."""
-        await self.faults.meet(is_append=True)
-        if not self._take_allowance():
-            raise errors.LogUnavailableError("the rate limit of appends is reached")
+        await self.faults.apply(is_append=True)
+        if not self._take_token():
+            raise errors.LogUnavailableError("the append exceeds the rate limit")
         return self.append_with(self.faults, payloads)
 
     def append_with(self, faults: Faults, payloads: Sequence[bytes]) -> int:
         """Append payloads, unless the switches lose the reply."""
-        if not faults.take_lost_reply():
+        if not faults.use_lost_reply():
             return self.append_now(payloads)
         if faults.late_ms > 0:
             asyncio.get_running_loop().call_later(
@@ -148,7 +152,7 @@
         raise errors.LogReplyLostError("the reply to the append was lost")
 
     def append_now(self, payloads: Sequence[bytes]) -> int:
-        """Append payloads without any fault and return the first offset."""
+        """Append payloads regardless of faults and return the first offset."""
         self._last_ms = max(self._last_ms, self.now_ms())
         first_offset = self._end_offset
         for payload in payloads:
@@ -165,13 +169,13 @@
     async def read(self, offset: int, limit: int, wait_s: float) -> service.LogPage:
         """Return at most ``limit`` entries from ``offset`` on."""
         self.read_count += 1
-        await self.faults.meet(is_append=False)
+        await self.faults.apply(is_append=False)
         return await self.read_with(self.faults, offset, limit, wait_s)
 
     async def read_with(
         self, faults: Faults, offset: int, limit: int, wait_s: float
     ) -> service.LogPage:
-        """Wait for entries and return them, unless the log goes down meanwhile."""
+        """Wait for entries and return them, unless the log fails during the wait."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + wait_s
         while offset >= self._visible_end(faults) and loop.time() < deadline:
@@ -181,7 +185,7 @@
             except TimeoutError:
                 break
         if faults.down or faults.silent:
-            await dataclasses.replace(faults, slow_ms=0.0).meet(is_append=False)
+            await dataclasses.replace(faults, slow_ms=0.0).apply(is_append=False)
         visible_end = self._visible_end(faults)
         page = self.read_now(offset, limit)
         return service.LogPage(
@@ -196,7 +200,7 @@
         return min(faults.visible_end, self._end_offset)
 
     def read_now(self, offset: int, limit: int) -> service.LogPage:
-        """Return a page without any fault or wait."""
+        """Return a page at once, regardless of faults."""
         self._expire()
         first_offset = self._end_offset - len(self._entries)
         if offset < first_offset:
@@ -206,18 +210,18 @@
         entries = tuple(self._entries[i] for i in range(start, stop))
         return service.LogPage(entries, first_offset, self._end_offset)
 
-    def _take_allowance(self) -> bool:
-        """Token bucket of one second's worth of appends."""
+    def _take_token(self) -> bool:
+        """Take a token for an append from a bucket that holds one second's worth."""
         rate = self.max_appends_per_s
         if rate is None:
             return True
         now_s = asyncio.get_running_loop().time()
-        earned = (now_s - self._allowance_s) * rate
-        self._allowance = min(rate, self._allowance + earned)
-        self._allowance_s = now_s
-        if self._allowance < 1:
+        refill = (now_s - self._tokens_updated_s) * rate
+        self._tokens = min(rate, self._tokens + refill)
+        self._tokens_updated_s = now_s
+        if self._tokens < 1:
             return False
-        self._allowance -= 1
+        self._tokens -= 1
         return True
 
     def _expire(self) -> None:
@@ -231,10 +235,10 @@
 
 
 class LogAccess:
-    """One node's way to a shared `FakeLog`, with fault switches of its own."""
+    """One node's access to a shared `FakeLog`, with fault switches of its own."""
 
     log: FakeLog  # the shared log
-    faults: Faults  # switches that only this node meets
+    faults: Faults  # switches that affect only this node
 
     def __init__(self, log: FakeLog) -> None:
         self.log = log
@@ -242,13 +246,13 @@
 
     async def append(self, payloads: Sequence[bytes]) -> int:
         """Append payloads in one call and return the offset of the first one."""
-        await self.faults.meet(is_append=True)
+        await self.faults.apply(is_append=True)
         if self.faults.lose_replies:
             return self.log.append_with(self.faults, payloads)
         return await self.log.append(payloads)
 
     async def read(self, offset: int, limit: int, wait_s: float) -> service.LogPage:
         """Return at most ``limit`` entries from ``offset`` on."""
-        await self.faults.meet(is_append=False)
-        await self.log.faults.meet(is_append=False)
+        await self.faults.apply(is_append=False)
+        await self.log.faults.apply(is_append=False)
         return await self.log.read_with(self.faults, offset, limit, wait_s)
--- a/standins/fake_platform.py
+++ b/standins/fake_platform.py
@@ -15,7 +15,7 @@
 from clementinespar.platform import service
 
 ALL = -1  # value of `Faults.lose_replies` that loses every reply
-_ACTIONS_LENGTH = 20_000  # newest actions kept
+_MAX_ACTIONS = 20_000  # newest actions kept
 
 ActionStep = Literal["drain", "reboot", "throttle", "checkpoint", "lease", "expiry"]
 ActionResult = Literal["started", "repeated", "refused", "done"]
@@ -29,16 +29,16 @@
 class Faults:
     """Fault switches; all are off by default."""
 
-    down: bool = False  # refuse every call at once
-    silent: bool = False  # never answer; calls take no effect
+    down: bool = False  # refuses every call at once
+    silent: bool = False  # calls have no effect and no answer
     slow_ms: float = 0.0  # delay before a call is served
-    lose_replies: int = 0  # calls from now on that take effect without a reply
+    lose_replies: int = 0  # number of next calls that take effect without a reply
     list_lag_s: float = 1.0  # age of the hosts' conditions in the list
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostSeed:
-    """A host at the start."""
+    """A host as it is at the start."""
 
     host_id: str
     data_centre: str
@@ -51,20 +51,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Action:
-    """One line of the history of actions."""
+    """One entry of the history of actions."""
 
     at_s: float  # loop time
     host_id: str
     step: ActionStep
     result: ActionResult
-    operation_id: str  # task or request id for steps that belong to no operation
+    operation_id: str  # task or request id if the step belongs to no operation
     fencing_offset: int = -1
     pool: str = ""  # destination of a reboot
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lease:
-    """A task that runs on a host until its lease ends."""
+    """Lease of a task, which runs on a host until the lease expires."""
 
     task_id: str
     host_id: str
@@ -100,10 +100,9 @@
     reboot_s : float
         Duration of a reboot in seconds.
     epoch_ms : int, optional
-        Wall time in milliseconds that the first use stands for; the real wall time by
-        default.
+        Wall time in milliseconds at the first use; the real wall time by default.
     on_leaving : callable, optional
-        Called with the host and whether it is leaving when that changes.
+        Called with a host and whether it is leaving, when that changes.
     """
 
     faults: Faults  # fault switches, changed by tests at any time
@@ -130,7 +129,7 @@
         self.faults = Faults()
         self.drain_s = drain_s
         self.reboot_s = reboot_s
-        self.actions = collections.deque(maxlen=_ACTIONS_LENGTH)
+        self.actions = collections.deque(maxlen=_MAX_ACTIONS)
         self._hosts_by_id = {seed.host_id: _Host(seed, seed.pool) for seed in hosts}
         self._steps = {}
         self._leases_by_task_id = {}
@@ -140,12 +139,12 @@
 
     @property
     def pool_by_host_id(self) -> dict[str, str]:
-        """Pool that each host was last rebooted into."""
+        """Pool by host id, as of the last reboot of the host."""
         return {host_id: host.pool for host_id, host in self._hosts_by_id.items()}
 
     @property
     def failed_host_ids(self) -> frozenset[str]:
-        """Hosts that are failed now."""
+        """Ids of the hosts that are failed now."""
         return frozenset(i for i, h in self._hosts_by_id.items() if h.is_failed)
 
     def actions_of(self, host_id: str) -> list[Action]:
@@ -155,7 +154,7 @@
     def host_ids_in(
         self, data_centre: str | None = None, rack: str | None = None
     ) -> list[str]:
-        """Return the hosts of a failure domain."""
+        """Return the ids of the hosts in a failure domain."""
         return [
             host_id
             for host_id, host in self._hosts_by_id.items()
@@ -169,18 +168,18 @@
             host = self._hosts_by_id[host_id]
             host.is_failed = True
             host.is_rebooting = False
-            self._note_condition(host)
+            self._record_condition(host)
 
     def recover(self, host_ids: Iterable[str]) -> None:
-        """Bring failed hosts back, as leaving if they had been drained."""
+        """Recover failed hosts; those that were leaving are leaving again."""
         for host_id in host_ids:
             host = self._hosts_by_id[host_id]
             host.is_failed = False
-            self._note_condition(host)
+            self._record_condition(host)
 
     async def list_hosts(self) -> service.HostList:
-        """Return the list of live and leaving hosts as of the lag ago."""
-        is_reply_lost = await self._meet_faults()
+        """Return the live and leaving hosts as they were `list_lag_s` ago."""
+        is_reply_lost = await self._apply_faults()
         as_of_s = asyncio.get_running_loop().time() - self.faults.list_lag_s
         listed: dict[str, service.ListedHost] = {}
         for host_id, host in self._hosts_by_id.items():
@@ -196,90 +195,92 @@
                 seed.port,
                 condition,
             )
-        _check_reply(is_reply_lost)
+        _raise_if_lost(is_reply_lost)
         return service.HostList(self._wall_ms(as_of_s), listed)
 
     async def drain(self, host_id: str, operation: service.Operation) -> None:
         """Start to drain a host."""
-        is_reply_lost = await self._meet_faults()
+        is_reply_lost = await self._apply_faults()
         host = self._check_action(host_id, operation, "drain", "")
         key: tuple[str, service.OperationStep] = (operation.operation_id, "drain")
         if self._steps.get(key) in ("running", "done"):
-            self._note_action(host, operation, "drain", "repeated")
+            self._record_action(host, operation, "drain", "repeated")
         else:
             self._steps[key] = "running"
-            self._note_action(host, operation, "drain", "started")
+            self._record_action(host, operation, "drain", "started")
             self._set_leaving(host, True)
             asyncio.get_running_loop().call_later(
                 self.drain_s, self._finish_drain, host, operation
             )
-        _check_reply(is_reply_lost)
+        _raise_if_lost(is_reply_lost)
 
     async def reboot(
         self, host_id: str, operation: service.Operation, pool: str
     ) -> None:
         """Start to reboot a drained host into a pool."""
-        is_reply_lost = await self._meet_faults()
+        is_reply_lost = await self._apply_faults()
         host = self._check_action(host_id, operation, "reboot", pool)
         key: tuple[str, service.OperationStep] = (operation.operation_id, "reboot")
         if self._steps.get(key) in ("running", "done"):
-            self._note_action(host, operation, "reboot", "repeated", pool)
+            self._record_action(host, operation, "reboot", "repeated", pool)
         elif host.drained_by != operation.operation_id:
-            self._note_action(host, operation, "reboot", "refused", pool)
+            self._record_action(host, operation, "reboot", "refused", pool)
             raise errors.PlatformRefusedError(f"host {host_id} is not drained")
         else:
             self._steps[key] = "running"
-            self._note_action(host, operation, "reboot", "started", pool)
+            self._record_action(host, operation, "reboot", "started", pool)
             host.is_rebooting = True
-            self._note_condition(host)
+            self._record_condition(host)
             asyncio.get_running_loop().call_later(
                 self.reboot_s, self._finish_reboot, host, operation, pool
             )
-        _check_reply(is_reply_lost)
+        _raise_if_lost(is_reply_lost)
 
     async def operation_status(
         self, operation_id: str, step: service.OperationStep
     ) -> service.OperationState:
-        """Return how far a step of an operation is."""
-        is_reply_lost = await self._meet_faults()
-        _check_reply(is_reply_lost)
+        """Return the state of a step of an operation."""
+        is_reply_lost = await self._apply_faults()
+        _raise_if_lost(is_reply_lost)
         return self._steps.get((operation_id, step), "unknown")
 
     async def throttle(self, host_id: str, request_id: str) -> None:
-        """Give a straggling task on a host less of its processors."""
+        """Limit the CPU of a straggling task on a host."""
         await self._act_on_task(host_id, request_id, "throttle")
 
     async def checkpoint(self, host_id: str, request_id: str) -> None:
-        """Checkpoint a task, so that it can go on elsewhere."""
+        """Checkpoint a task, so that it can continue on another host."""
         await self._act_on_task(host_id, request_id, "checkpoint")
 
     async def lease_task(self, task_id: str, host_id: str, lease_s: float) -> Lease:
         """Grant or renew the lease of a task on a live host."""
-        is_reply_lost = await self._meet_faults()
+        is_reply_lost = await self._apply_faults()
         host = self._find(host_id)
-        held = self.leases_by_task_id.get(task_id)
-        if held is not None and held.host_id != host_id:
-            raise errors.PlatformRefusedError(f"{task_id} runs on {held.host_id}")
-        if host.is_failed or (host.is_leaving and held is None):
-            raise errors.PlatformRefusedError(f"host {host_id} takes no new task")
+        current = self.leases_by_task_id.get(task_id)
+        if current is not None and current.host_id != host_id:
+            raise errors.PlatformRefusedError(f"{task_id} runs on {current.host_id}")
+        if host.is_failed or (host.is_leaving and current is None):
+            raise errors.PlatformRefusedError(
+                f"host {host_id} is failed or leaving and takes no new task"
+            )
         until_s = asyncio.get_running_loop().time() + lease_s
         lease = Lease(task_id, host_id, until_s)
         self._leases_by_task_id[task_id] = lease
-        result: ActionResult = "started" if held is None else "repeated"
-        self._note_action(host, service.Operation(task_id, -1), "lease", result)
-        _check_reply(is_reply_lost)
+        result: ActionResult = "started" if current is None else "repeated"
+        self._record_action(host, service.Operation(task_id, -1), "lease", result)
+        _raise_if_lost(is_reply_lost)
         return lease
 
     @property
     def leases_by_task_id(self) -> dict[str, Lease]:
-        """Leases that have not ended; ended ones are noted as actions and dropped."""
+        """Leases that have not expired; expired ones become actions and are removed."""
         now = asyncio.get_running_loop().time()
         for lease in list(self._leases_by_task_id.values()):
             if lease.until_s <= now or self._hosts_by_id[lease.host_id].is_failed:
                 del self._leases_by_task_id[lease.task_id]
                 host = self._hosts_by_id[lease.host_id]
                 operation = service.Operation(lease.task_id, -1)
-                self._note_action(host, operation, "expiry", "done")
+                self._record_action(host, operation, "expiry", "done")
         return self._leases_by_task_id
 
     def _finish_drain(self, host: _Host, operation: service.Operation) -> None:
@@ -292,7 +293,7 @@
         for lease in list(self._leases_by_task_id.values()):
             if lease.host_id == host.seed.host_id:
                 del self._leases_by_task_id[lease.task_id]
-        self._note_action(host, operation, "drain", "done")
+        self._record_action(host, operation, "drain", "done")
 
     def _finish_reboot(
         self, host: _Host, operation: service.Operation, pool: str
@@ -305,7 +306,7 @@
         host.pool = pool
         host.drained_by = ""
         host.is_rebooting = False
-        self._note_action(host, operation, "reboot", "done", pool)
+        self._record_action(host, operation, "reboot", "done", pool)
         self._set_leaving(host, False)
 
     def _check_action(
@@ -314,37 +315,39 @@
         """Refuse an action on a failed host or with a stale fencing offset."""
         host = self._find(host_id)
         if operation.fencing_offset < host.fencing_offset:
-            self._note_action(host, operation, step, "refused", pool)
+            self._record_action(host, operation, step, "refused", pool)
             raise errors.PlatformRefusedError(
                 f"offset {operation.fencing_offset} is older than {host.fencing_offset}"
             )
         if host.is_failed:
-            self._note_action(host, operation, step, "refused", pool)
-            raise errors.PlatformRefusedError(f"host {host_id} does not answer")
+            self._record_action(host, operation, step, "refused", pool)
+            raise errors.PlatformRefusedError(
+                f"host {host_id} has failed and does not answer"
+            )
         host.fencing_offset = operation.fencing_offset
         return host
 
     async def _act_on_task(
         self, host_id: str, request_id: str, step: ActionStep
     ) -> None:
-        is_reply_lost = await self._meet_faults()
+        is_reply_lost = await self._apply_faults()
         operation = service.Operation(request_id, -1)
-        self._note_action(self._find(host_id), operation, step, "done")
-        _check_reply(is_reply_lost)
+        self._record_action(self._find(host_id), operation, step, "done")
+        _raise_if_lost(is_reply_lost)
 
     def _find(self, host_id: str) -> _Host:
         host = self._hosts_by_id.get(host_id)
         if host is None:
-            raise errors.PlatformRefusedError(f"no host {host_id}")
+            raise errors.PlatformRefusedError(f"unknown host {host_id}")
         return host
 
     def _set_leaving(self, host: _Host, is_leaving: bool) -> None:
         host.is_leaving = is_leaving
-        self._note_condition(host)
+        self._record_condition(host)
         if self._on_leaving is not None:
             self._on_leaving(host.seed, is_leaving)
 
-    def _note_condition(self, host: _Host) -> None:
+    def _record_condition(self, host: _Host) -> None:
         condition: service.HostCondition | None = "live"
         if host.is_failed or host.is_rebooting:
             condition = None
@@ -352,7 +355,7 @@
             condition = "leaving"
         host.conditions.append((asyncio.get_running_loop().time(), condition))
 
-    def _note_action(
+    def _record_action(
         self,
         host: _Host,
         operation: service.Operation,
@@ -379,7 +382,7 @@
             self._epoch_loop_s = asyncio.get_running_loop().time()
         return self._epoch_ms + int((loop_s - self._epoch_loop_s) * 1000)
 
-    async def _meet_faults(self) -> bool:
+    async def _apply_faults(self) -> bool:
         """Apply the fault switches; return whether this call loses its reply."""
         if self.faults.slow_ms > 0:
             await asyncio.sleep(self.faults.slow_ms / 1000)
@@ -400,6 +403,6 @@
     return "live"
 
 
-def _check_reply(is_lost: bool) -> None:
+def _raise_if_lost(is_lost: bool) -> None:
     if is_lost:
         raise ReplyLostError("the reply was lost")
--- a/standins/fake_target.py
+++ b/standins/fake_target.py
@@ -1,7 +1,7 @@
-"""In-process fake of the targets and of the transport to them.
+"""In-memory stand-in of targets and of the transport to them.
 
-Has the same faults as the stand-in over sockets. Time comes only from the event loop,
-so tests and benches run it on a paused clock.
+Supports the faults of `standins.target`. Its time is the event loop's, so tests and
+benches run it on a paused clock.
 """
 
 import asyncio
@@ -14,21 +14,21 @@
 
 @dataclasses.dataclass(slots=True)
 class FakeTarget:
-    """One target: the state of the stand-in, and whether it is alive."""
+    """One target: its state as in `standins.target`, and its running requests."""
 
     state: target_standin.TargetState
     is_killed: bool = False
-    # Requests that run now; all of them end when the target is killed.
+    # Running requests; all of them are cancelled when the target is killed.
     tasks: set[asyncio.Task[bool]] = dataclasses.field(default_factory=set)
 
     def kill(self) -> None:
-        """End all running work; connections are refused until `restart`."""
+        """Cancel all running requests and refuse connections until `restart`."""
         self.is_killed = True
         for task in list(self.tasks):
             task.cancel()
 
     def restart(self) -> None:
-        """Start again with no work and no faults."""
+        """Accept connections again, without requests and faults."""
         self.is_killed = False
         self.state.faults = target_standin.Faults()
 
@@ -39,7 +39,7 @@
     Parameters
     ----------
     targets_by_host_id : dict of str to FakeTarget
-        The targets; a host without one refuses connections.
+        The targets; any other host refuses connections.
     latency_s : float
         One-way latency to a target.
     """
@@ -60,7 +60,7 @@
         timeout_s: float,
         repeatable: bool,
     ) -> model.Attempt:
-        """Send one attempt; the request goes on at the target after a timeout."""
+        """Send one attempt; after a timeout, the target still runs the request."""
         fake = self.targets_by_host_id.get(target.host_id)
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + timeout_s
@@ -86,7 +86,7 @@
                 status=503,
                 is_leaving=state.faults.leaving,
             )
-        # The slot is taken now: the task starts to run in the loop's next round.
+        # Occupies the slot now: the task runs only in the loop's next iteration.
         slot = state.running(request.request_id)
         slot.__enter__()
         task = loop.create_task(self._run(fake, request))
@@ -116,7 +116,7 @@
     async def status(
         self, target: model.Target, timeout_s: float
     ) -> model.TargetStatus | None:
-        """Return the target's own status, or None if it did not answer."""
+        """Return the status that the target reports, or None if it did not answer."""
         fake = self.targets_by_host_id.get(target.host_id)
         await asyncio.sleep(self.latency_s)
         if fake is None or fake.is_killed:
--- a/standins/log_service.py
+++ b/standins/log_service.py
@@ -128,7 +128,7 @@
 
 
 def set_faults(log: fake_log.FakeLog, switches: dict[str, Any]) -> None:
-    """Set the switches that are given and leave the others.
+    """Set the given switches; the others keep their values.
 
     Raises
     ------
@@ -155,7 +155,7 @@
             case "max_appends_per_s":
                 log.max_appends_per_s = None if value is None else float(value)
             case _:
-                raise ValueError(f"unknown switch {name}")
+                raise ValueError(f"unknown fault switch {name}")
 
 
 def make_application(log: fake_log.FakeLog) -> web.Application:
@@ -173,7 +173,7 @@
 
 @contextlib.contextmanager
 def serving(log: fake_log.FakeLog, address: str, port: int) -> Iterator[int]:
-    """Serve a log while the context is open and give its port."""
+    """Serve a log while the context is entered; yield its port."""
     log.faults.client_timeout_s = None
     server = httpserver.HTTPServer(
         make_application(log),
@@ -189,11 +189,17 @@
 
 
 @click.command()
-@click.option("--port", type=int, default=0, help="TCP port; 0: the system chooses.")
-@click.option("--address", default="127.0.0.1", help="IP number to listen on.")
-@click.option("--retention-entries", type=int, help="Newest entries kept.")
-@click.option("--retention-ms", type=int, help="Age up to which entries are kept.")
-@click.option("--max-appends-per-s", type=float, help="Appends above are refused.")
+@click.option(
+    "--port", type=int, default=0, help="TCP port; 0 for one that the system chooses."
+)
+@click.option("--address", default="127.0.0.1", help="IP address to listen on.")
+@click.option("--retention-entries", type=int, help="Number of newest entries to keep.")
+@click.option(
+    "--retention-ms", type=int, help="Age up to which entries are kept, in ms."
+)
+@click.option(
+    "--max-appends-per-s", type=float, help="Rate above which appends are refused."
+)
 def main(
     port: int,
     address: str,
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -2,10 +2,10 @@
 
 ``GET /hosts`` answers the hosts with an ``Etag`` and with ``X-Observed-Ms``, the wall
 time of the list; a request with ``If-None-Match`` is answered 304 while the hosts are
-the same. ``POST /hosts/ID/drain`` and
-``/reboot`` take ``operation_id``, ``fencing_offset`` and, for a reboot, ``pool``; they
-answer 200, or 409 when the action is refused. ``GET /operations/ID/STEP`` answers
-``state``. ``POST /hosts/ID/throttle`` and ``/checkpoint`` take ``request_id``.
+unchanged. ``POST /hosts/ID/drain`` and ``/reboot`` take ``operation_id``,
+``fencing_offset`` and, for a reboot, ``pool``; they answer 200, or 409 when the action
+is refused. ``GET /operations/ID/STEP`` answers ``state``. ``POST /hosts/ID/throttle``
+and ``/checkpoint`` take ``request_id``.
 ``POST /tasks`` with ``task_id``, ``host_id`` and ``lease_s`` grants or renews a lease;
 ``GET /tasks`` lists the leases.
 
@@ -14,8 +14,8 @@
 ``recover`` with any of ``hosts``, ``rack`` and ``data_centre``. ``GET /actions``
 answers the history of actions by host.
 
-A host with a ``faults_port`` has its target told of a drain and of the end of a reboot:
-``POST /faults`` with ``{"leaving": true}`` or ``false``.
+If a host has a ``faults_port``, its target is notified of a drain and of the end of a
+reboot: ``POST /faults`` with ``{"leaving": true}`` or ``false``.
 """
 
 import asyncio
@@ -40,9 +40,9 @@
 
 
 class TargetNotices:
-    """Tells targets whether their hosts are leaving."""
+    """Notifies targets whether their hosts are leaving."""
 
-    _tasks: set[asyncio.Task[None]]  # notices on their way
+    _tasks: set[asyncio.Task[None]]  # notices that are being sent
 
     def __init__(self) -> None:
         self._tasks = set()
@@ -85,7 +85,7 @@
         self.finish(json.dumps(body))
 
     def log_exception(self, *args: Any) -> None:
-        """Leave out tracebacks of errors that `write_error` answers."""
+        """Log no tracebacks of errors; `write_error` answers with them."""
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
         error = kwargs.get("exc_info", (None, None, None))[1]
@@ -113,7 +113,7 @@
         host_list = await self.platform.list_hosts()
         hosts = [dataclasses.asdict(host) for host in host_list.hosts_by_id.values()]
         self.set_header("X-Observed-Ms", str(host_list.observed_ms))
-        # tornado computes the Etag of the body and answers 304 if it is the same.
+        # Tornado computes the Etag of the body and answers 304 if it is unchanged.
         self.reply(200, hosts)
 
 
@@ -185,7 +185,7 @@
 
 
 def set_faults(platform: fake_platform.FakePlatform, switches: dict[str, Any]) -> None:
-    """Set the switches that are given and leave the others.
+    """Set the given switches; the others keep their values.
 
     Raises
     ------
@@ -210,17 +210,17 @@
             case "reboot_s":
                 platform.reboot_s = float(value)
             case "fail":
-                platform.fail(_selected(platform, value))
+                platform.fail(_select_host_ids(platform, value))
             case "recover":
-                platform.recover(_selected(platform, value))
+                platform.recover(_select_host_ids(platform, value))
             case _:
-                raise ValueError(f"unknown switch {name}")
+                raise ValueError(f"unknown fault switch {name}")
 
 
-def _selected(
+def _select_host_ids(
     platform: fake_platform.FakePlatform, selection: dict[str, Any]
 ) -> list[str]:
-    """Return the hosts that a selection names; an empty one names none."""
+    """Return the ids of the hosts in a selection; none if it is empty."""
     host_ids = [str(host_id) for host_id in selection.get("hosts", ())]
     data_centre, rack = selection.get("data_centre"), selection.get("rack")
     if data_centre is not None or rack is not None:
@@ -253,7 +253,7 @@
 def serving(
     platform: fake_platform.FakePlatform, address: str, port: int
 ) -> Iterator[int]:
-    """Serve a platform while the context is open and give its port."""
+    """Serve a platform while the context is entered; yield its port."""
     server = httpserver.HTTPServer(
         make_application(platform), idle_connection_timeout=600
     )
@@ -266,8 +266,10 @@
 
 
 @click.command()
-@click.option("--port", type=int, default=0, help="TCP port; 0: the system chooses.")
-@click.option("--address", default="127.0.0.1", help="IP number to listen on.")
+@click.option(
+    "--port", type=int, default=0, help="TCP port; 0 for one that the system chooses."
+)
+@click.option("--address", default="127.0.0.1", help="IP address to listen on.")
 @click.option(
     "--hosts",
     type=click.Path(exists=True, path_type=pathlib.Path),
--- a/standins/target.py
+++ b/standins/target.py
@@ -1,8 +1,8 @@
 """Stand-in of a target: the instance of a service on one host.
 
-Serves the wire format of section 5 of the design page. Run time comes from the request
-body (``{"run_ms": 20}``). ``POST /faults`` changes its faults while it runs, and
-``GET /runs`` shows how often each request ran, so that doubled work is visible.
+Implements the wire format of section 5 of the design page. The request body sets the
+run time (``{"run_ms": 20}``). ``POST /faults`` changes the faults of a running target,
+and ``GET /runs`` reports how often each request ran, which shows repeated work.
 
 Run as ``python -m standins.target --address 127.0.0.1 --port 0 --host-id h1``; the
 first line of output is JSON with the port.
@@ -30,11 +30,11 @@
     """Faults of a target; all are off by default."""
 
     fail_all: bool = False  # starts every request and answers 500 at once
-    freeze: bool = False  # nothing moves until it is off again
+    freeze: bool = False  # delays all starts and answers until it is off again
     silent: bool = False  # accepts requests and never answers them
     drop_before_answer: bool = False  # runs the request, then closes the connection
     wrong_request_id: bool = False  # echoes another request id
-    leaving: bool = False  # refuses new work and says that it leaves
+    leaving: bool = False  # refuses new work and reports that it is leaving
     refuse: bool = False  # refuses new work
     slow_factor: float = 1.0  # multiplies run times
 
@@ -43,13 +43,15 @@
         known = {field.name for field in dataclasses.fields(self)}
         for name, value in changes.items():
             if name not in known:
-                raise ValueError(f"unknown fault {name}; known are {sorted(known)}")
+                raise ValueError(
+                    f"unknown fault {name}, expected one of {sorted(known)}"
+                )
             setattr(self, name, float(value) if name == "slow_factor" else bool(value))
 
 
 @dataclasses.dataclass(slots=True)
 class TargetState:
-    """Slots, faults and counts of one target."""
+    """Slots, faults and counters of one target."""
 
     host_id: str
     slots: int = 8
@@ -76,7 +78,7 @@
         return None
 
     def run_seconds(self, body: bytes) -> float:
-        """Return the run time that a body asks for."""
+        """Return the run time in seconds that a request body asks for."""
         run_ms = self.default_run_ms
         with contextlib.suppress(ValueError, TypeError, AttributeError):
             run_ms = float(json.loads(body).get("run_ms", run_ms))
@@ -84,7 +86,7 @@
 
     @contextlib.contextmanager
     def running(self, request_id: str) -> Any:
-        """Hold a slot and count the run."""
+        """Occupy a slot and count the run."""
         self.busy_slots += 1
         self.most_busy_slots = max(self.most_busy_slots, self.busy_slots)
         self.runs_by_request_id[request_id] += 1
@@ -94,13 +96,13 @@
             self.busy_slots -= 1
 
     def answer_body(self, request_id: str, kind: str) -> bytes:
-        """Return an answer that shows to which request it belongs."""
+        """Return the body of an answer, which names the request that it belongs to."""
         answer = {"request_id": request_id, "host_id": self.host_id, "kind": kind}
         return json.dumps(answer).encode()
 
 
 class _Handler(tornado.web.RequestHandler):
-    state: TargetState  # the target that this handler answers for
+    state: TargetState  # of the target that this handler serves
 
     def initialize(self, state: TargetState) -> None:
         self.state = state
@@ -150,7 +152,7 @@
 
 class _StatusHandler(_Handler):
     async def get(self) -> None:
-        """Answer with the busy slots."""
+        """Answer with the busy slots and whether the target is leaving."""
         await self.wait_while_frozen()
         self.write_json(
             {
@@ -188,7 +190,7 @@
 
 
 class _Server(tornado.httpserver.HTTPServer):
-    max_connections: int  # connections over this number are closed at once
+    max_connections: int  # further connections are closed at once
     open_connections: int
 
     def initialize(  # type: ignore[override]
@@ -219,7 +221,7 @@
     port: int = 0,
     max_connections: int = 64,
 ) -> AsyncIterator[int]:
-    """Serve a target and yield its port."""
+    """Serve a target while the context is entered; yield its port."""
     arguments = {"state": state}
     application = tornado.web.Application(
         [
