--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -102,7 +102,7 @@
 
 
 def read_regression_seeds(path: pathlib.Path) -> list[int]:
-    """Return the seeds of a file, the first word of each line but comments."""
+    """Return the first word of each line that is not a comment."""
     lines = path.read_text().splitlines()
     return [int(line.split()[0]) for line in lines if line and line[0] != "#"]
 
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -25,7 +25,7 @@
     mode: Mode
     port: int
     _target: tuple[str, int]
-    _dropping: set[asyncio.StreamWriter]
+    _dropping_writers: set[asyncio.StreamWriter]
     _writers: set[asyncio.StreamWriter]
 
     def __init__(self, target: str) -> None:
@@ -33,14 +33,14 @@
         self.mode = Mode.PASS
         self.port = 0
         self._target = (host, int(port))
-        self._dropping = set()
+        self._dropping_writers = set()
         self._writers = set()
 
     def set_mode(self, mode: Mode) -> None:
         """Apply a mode to new and open connections."""
         self.mode = mode
         if mode is Mode.SILENT:
-            self._dropping |= self._writers
+            self._dropping_writers |= self._writers
         elif mode is Mode.RESET:
             for writer in self._writers:
                 writer.transport.abort()
@@ -68,7 +68,7 @@
             for end in (writer, target_writer):
                 end.transport.abort()
                 self._writers.discard(end)
-                self._dropping.discard(end)
+                self._dropping_writers.discard(end)
 
     async def _forward(
         self,
@@ -80,7 +80,11 @@
             if self.mode is Mode.DELAY:
                 await asyncio.sleep(DELAY_S)
             is_dropped = is_answer and self.mode is Mode.CUT_BACK
-            if is_dropped or self.mode is Mode.SILENT or writer in self._dropping:
+            if (
+                is_dropped
+                or self.mode is Mode.SILENT
+                or writer in self._dropping_writers
+            ):
                 continue
             writer.write(data)
             await writer.drain()
