--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demo: both users' deployments as separate processes."""
+"""Demo of both users' deployments, run as separate processes."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -20,7 +20,7 @@
     "--program",
     required=True,
     type=click.Path(path_type=pathlib.Path, exists=True, dir_okay=False),
-    help="The shipped program.",
+    help="Path of the packaged program.",
 )
 @click.option(
     "--kill", "kills", is_flag=True, help="Also kill a node, a target and the log."
@@ -31,10 +31,10 @@
     multiple=True,
     type=click.Choice(_USERS),
     default=_USERS,
-    help="Only this user.",
+    help="Run only this user's deployment; may be repeated.",
 )
 def main(program: pathlib.Path, kills: bool, users: tuple[str, ...]) -> None:
-    """Run both example deployments as separate processes and check the promises."""
+    """Run both example deployments as separate processes and check the guarantees."""
     started = time.monotonic()
     with tempfile.TemporaryDirectory(prefix="clementinespar-demo-") as directory:
         try:
@@ -43,20 +43,23 @@
             )
         except* (processes.StartError, deployment.CommandFailedError) as group:
             raise click.ClickException(
-                "\n".join(str(error) for error in _leaves(group))
+                "\n".join(str(error) for error in _flatten(group))
             ) from None
         except* asyncio.CancelledError:
-            raise click.ClickException("told to end; all processes ended") from None
+            raise click.ClickException(
+                "received SIGTERM; all child processes have ended"
+            ) from None
     for report in reports:
         click.echo(f"\n{table.render(report)}")
-    click.echo(f"\n{time.monotonic() - started:.0f} s in all")
-    sys.exit(1 if any(report.broken for report in reports) else 0)
+    click.echo(f"\n{time.monotonic() - started:.0f} s in total")
+    sys.exit(1 if any(report.violations for report in reports) else 0)
 
 
-def _leaves(group: BaseExceptionGroup[BaseException]) -> Iterator[BaseException]:
+def _flatten(group: BaseExceptionGroup[BaseException]) -> Iterator[BaseException]:
+    """Yield the exceptions inside a group, including those of nested groups."""
     for error in group.exceptions:
         if isinstance(error, BaseExceptionGroup):
-            yield from _leaves(error)
+            yield from _flatten(error)
         else:
             yield error
 
@@ -69,25 +72,27 @@
 ) -> list[scenario.Report]:
     task = asyncio.current_task()
     assert task is not None
-    # The processes are ended also when the demo itself is told to end.
+    # Cancels the main task, so that child processes are ended on SIGTERM too.
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     await _unpack(program, directory)
     async with asyncio.TaskGroup() as tasks:
         running = [
             tasks.create_task(
-                scenario.run(user, program, directory / user, kills, _say_for(user))
+                scenario.run(
+                    user, program, directory / user, kills, _line_printer(user)
+                )
             )
             for user in users
         ]
     return [scenario_task.result() for scenario_task in running]
 
 
-def _say_for(user: str) -> Callable[[str], None]:
+def _line_printer(user: str) -> Callable[[str], None]:
     return lambda line: click.echo(f"{user:<10}  {line}")
 
 
 async def _unpack(program: pathlib.Path, directory: pathlib.Path) -> None:
-    """Let the program unpack itself once, so that the nodes start at the same time."""
+    """Run the program once to unpack it, so that the nodes start at the same time."""
     async with processes.group(
         directory, {"SHIV_ROOT": str(directory / "shiv")}
     ) as group:
--- a/demo/checks.py
+++ b/demo/checks.py
@@ -1,4 +1,4 @@
-"""The promises that the demo checks, and the observations they rest on."""
+"""Guarantees that the demo checks, and the observations they are checked against."""
 
 import asyncio
 import collections
@@ -19,30 +19,30 @@
 
 
 @dataclasses.dataclass(slots=True)
-class PoolRecord:
-    """What was seen of one pool's availability budget."""
+class PoolAvailability:
+    """Observed availability of one pool, compared with its budget."""
 
     min_available: int = 0
-    least_available: int = 1_000_000  # least number of hosts in service that was seen
-    most_out: int = 0  # most hosts that were out at once
+    least_available: int = 1_000_000  # lowest observed number of hosts in service
+    most_out: int = 0  # highest observed number of hosts out of service
     observations: int = 0
 
     @property
-    def is_held(self) -> bool:
-        """Whether the pool always kept enough hosts in service."""
+    def is_within_budget(self) -> bool:
+        """Whether every observation had enough hosts in service."""
         return self.observations > 0 and self.least_available >= self.min_available
 
 
 @dataclasses.dataclass(slots=True)
 class BudgetWatch:
-    """Watches the pools of all nodes' statuses."""
+    """Observes the pools in the status of every live node."""
 
-    host_count: int  # hosts of the document; each is in exactly one pool
-    pools_by_name: dict[str, PoolRecord] = dataclasses.field(default_factory=dict)
-    miscounted: int = 0  # statuses whose pools together had another number of hosts
+    host_count: int  # hosts in the document; each belongs to exactly one pool
+    pools_by_name: dict[str, PoolAvailability] = dataclasses.field(default_factory=dict)
+    miscounted: int = 0  # statuses whose pools did not add up to `host_count`
 
     async def run(self, deployed: deployment.Deployment) -> None:
-        """Watch until cancelled."""
+        """Poll the status of all live nodes until cancelled."""
         while True:
             for node in deployed.live_nodes:
                 reply = await deployed.get(node, "/v1/status")
@@ -51,35 +51,37 @@
             await asyncio.sleep(_POLL_S)
 
     def observe(self, status: Mapping[str, object]) -> None:
-        """Take one status into account."""
-        counted = 0
+        """Update the observations with the status of one node."""
+        host_total = 0
         for pool in replies.items(status, "pools"):
-            record = self.pools_by_name.setdefault(
-                replies.text(pool, "name"), PoolRecord()
+            pool_availability = self.pools_by_name.setdefault(
+                replies.text(pool, "name"), PoolAvailability()
             )
             available = replies.integer(pool, "available")
-            counted += replies.integer(pool, "hosts")
-            record.observations += 1
-            record.min_available = replies.integer(pool, "min_available")
-            record.least_available = min(record.least_available, available)
-            record.most_out = max(
-                record.most_out, replies.integer(pool, "hosts") - available
+            host_total += replies.integer(pool, "hosts")
+            pool_availability.observations += 1
+            pool_availability.min_available = replies.integer(pool, "min_available")
+            pool_availability.least_available = min(
+                pool_availability.least_available, available
             )
-        self.miscounted += counted != self.host_count
+            pool_availability.most_out = max(
+                pool_availability.most_out, replies.integer(pool, "hosts") - available
+            )
+        self.miscounted += host_total != self.host_count
 
 
 @dataclasses.dataclass(slots=True)
-class Runs:
-    """How often each request ran at each target, as the targets say."""
+class RunCounts:
+    """How often each request ran at each target, as reported by the targets."""
 
     runs_by_host: dict[str, dict[str, int]] = dataclasses.field(default_factory=dict)
-    over_admitted: int = 0  # requests that found no free slot, when last read
+    over_admitted: int = 0  # requests sent to a full target, at the last read
     unread_hosts: set[str] = dataclasses.field(
         default_factory=set
-    )  # took no connection
+    )  # hosts whose target could not be read
 
     async def read(self, deployed: deployment.Deployment) -> None:
-        """Read the counts of all targets that run."""
+        """Read the counts of all running targets."""
         self.over_admitted = 0
         for host_id, target in deployed.targets_by_host.items():
             if not target.is_running:
@@ -94,7 +96,7 @@
             self.over_admitted += values["refused_full"]
 
     def total(self) -> collections.Counter[str]:
-        """Return how often each request ran anywhere."""
+        """Return how often each request ran over all targets."""
         counts: collections.Counter[str] = collections.Counter()
         for runs in self.runs_by_host.values():
             counts.update(runs)
@@ -102,7 +104,10 @@
 
 
 async def _fetch(url: str) -> httpclient.HTTPResponse | None:
-    """Fetch from a target; None if all of its connections stay in use."""
+    """Fetch from a target; None if every attempt fails.
+
+    Several attempts are made because the load may use all connections of the target.
+    """
     client = httpclient.AsyncHTTPClient()
     for _ in range(_FETCH_ATTEMPTS):
         try:
@@ -114,79 +119,82 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tally:
-    """Requests of one service by what became of them."""
+    """Number of requests of one service by outcome."""
 
     service: str
-    asked: int
+    sent: int
     answered: int
     refused: int
-    unknown: int  # includes callers whose node was killed
+    unknown: int  # includes requests whose node was killed
     lost: int  # no outcome although the node was not killed
-    doubled: int  # non-repeatable requests that ran more than once
+    duplicated: int  # non-repeatable requests that ran more than once
     ran_although_refused: int
-    wrong_caller: int
+    wrong_answers: int
 
     @property
-    def broken(self) -> int:
-        """How many requests broke a promise."""
-        return self.lost + self.doubled + self.ran_although_refused + self.wrong_caller
+    def violations(self) -> int:
+        """Number of violated guarantees, summed over all requests."""
+        return (
+            self.lost + self.duplicated + self.ran_although_refused + self.wrong_answers
+        )
 
 
-def tally(asked: Iterable[load.Asked], runs: Mapping[str, int]) -> list[Tally]:
+def tally(requests: Iterable[load.SentRequest], runs: Mapping[str, int]) -> list[Tally]:
     """Return one tally for each service."""
-    by_service: dict[str, list[load.Asked]] = {}
-    for request in asked:
+    by_service: dict[str, list[load.SentRequest]] = {}
+    for request in requests:
         by_service.setdefault(request.service, []).append(request)
     return [
-        _tally_service(service, requests, runs)
-        for service, requests in by_service.items()
+        _tally_service(service, service_requests, runs)
+        for service, service_requests in by_service.items()
     ]
 
 
-def is_lost(request: load.Asked) -> bool:
+def is_lost(request: load.SentRequest) -> bool:
     """Whether a request has no outcome although its node was not killed."""
     match request.result:
         case load.Result.PENDING | load.Result.LOST:
             return True
-        case load.Result.CUT:
+        case load.Result.DISCONNECTED:
             return not request.node.was_killed
         case _:
             return False
 
 
 def _tally_service(
-    service: str, requests: list[load.Asked], runs: Mapping[str, int]
+    service: str, requests: list[load.SentRequest], runs: Mapping[str, int]
 ) -> Tally:
     results = collections.Counter(request.result for request in requests)
     lost = sum(map(is_lost, requests))
-    cut_by_kill = results[load.Result.CUT] - sum(
-        is_lost(r) for r in requests if r.result == load.Result.CUT
+    disconnected_by_kill = results[load.Result.DISCONNECTED] - sum(
+        is_lost(r) for r in requests if r.result == load.Result.DISCONNECTED
     )
     return Tally(
         service=service,
-        asked=len(requests),
+        sent=len(requests),
         answered=results[load.Result.ANSWERED],
         refused=results[load.Result.REFUSED],
-        unknown=results[load.Result.UNKNOWN] + cut_by_kill,
+        unknown=results[load.Result.UNKNOWN] + disconnected_by_kill,
         lost=lost,
-        doubled=sum(
+        duplicated=sum(
             not r.is_repeatable and runs.get(r.request_id, 0) > 1 for r in requests
         ),
         ran_although_refused=sum(
             r.result == load.Result.REFUSED and runs.get(r.request_id, 0) > 0
             for r in requests
         ),
-        wrong_caller=sum(r.is_wrong_answer for r in requests),
+        wrong_answers=sum(r.is_wrong_answer for r in requests),
     )
 
 
-async def time_in_force(
+async def seconds_until_in_force(
     deployed: deployment.Deployment, environment: str, revision: int
 ) -> float:
-    """Return the seconds from acceptance until a revision is seen on all live nodes.
+    """Return the seconds until an accepted revision is in force on all live nodes.
 
-    Acceptance is the append time in the log; all clocks are those of this machine. The
-    result is infinite if the revision is not seen everywhere within twice the limit.
+    Acceptance is the append time in the log; the log and the demo use the clock of this
+    machine. The result is infinite if the revision is not in force on all live nodes
+    within twice the limit.
     """
     until = time.time() + 2 * IN_FORCE_LIMIT_S
     accepted_ms = 0
--- a/demo/deployment.py
+++ b/demo/deployment.py
@@ -1,4 +1,4 @@
-"""One user's deployment: stand-ins of the platform, targets and entry nodes."""
+"""One user's deployment: stand-ins of the log and platform, targets and entry nodes."""
 
 import asyncio
 import contextlib
@@ -20,12 +20,12 @@
 _ADDRESS = "127.0.0.1"
 _READY_LIMIT_S = 30.0
 _POLL_S = 0.1
-# Drains and reboots take minutes on real hosts; here the demo would wait for them.
+# Drains and reboots take minutes on real hosts; short ones keep the demo short.
 _PLATFORM_TIMES = ("--drain-s", "1", "--reboot-s", "1.5", "--list-lag-s", "0.5")
 
 
 class CommandFailedError(Exception):
-    """A command of the program did not succeed."""
+    """A command of the program exited with a status other than 0."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -38,8 +38,8 @@
     admin_port: int
     peer_port: int
     process: processes.Process | None = None
-    is_ready: bool = False  # as the platform's balancer sees it
-    was_killed: bool = False  # by kill -9, so its connections broke
+    is_ready: bool = False  # result of the last readiness check
+    was_killed: bool = False  # by SIGKILL, which breaks its connections
 
     @property
     def admin(self) -> str:
@@ -48,13 +48,13 @@
 
     @property
     def url(self) -> str:
-        """Base address for callers."""
+        """Base URL for callers."""
         return f"http://{_ADDRESS}:{self.caller_port}"
 
 
 @dataclasses.dataclass(slots=True)
 class Deployment:
-    """Everything that runs for one user."""
+    """Processes of one user's deployment, and a client of its nodes."""
 
     name: str
     program: pathlib.Path
@@ -70,10 +70,10 @@
 
     @property
     def live_nodes(self) -> list[Node]:
-        """Nodes whose processes run."""
+        """Nodes whose process is running."""
         return [n for n in self.nodes if n.process is not None and n.process.is_running]
 
-    async def command(self, *arguments: str) -> dict[str, object]:
+    async def run_command(self, *arguments: str) -> dict[str, object]:
         """Run a command of the program against the live nodes and return its JSON.
 
         Raises
@@ -90,34 +90,34 @@
             env={**os.environ, **self.group.environment},
         )
         try:
-            out, problems = await child.communicate()
+            stdout, stderr = await child.communicate()
         except asyncio.CancelledError:
             child.kill()
             await child.wait()
             raise
         if child.returncode != 0:
             raise CommandFailedError(
-                f"{' '.join(arguments)}: status {child.returncode}: "
-                f"{problems.decode().strip()} {out.decode().strip()}"
+                f"{' '.join(arguments)}: exit status {child.returncode}: "
+                f"{stderr.decode().strip()} {stdout.decode().strip()}"
             )
-        values = json.loads(out)
+        values = json.loads(stdout)
         assert isinstance(values, dict)
         return values
 
     async def get(self, node: Node, path: str) -> client.Reply | None:
-        """Ask one node's admin port; None if it does not reply."""
+        """Send a GET request to a node's admin port; None if it does not reply."""
         reply = await self.admin.call(node.admin, "GET", path)
         return reply if isinstance(reply, client.Reply) else None
 
     async def fail_host(self, host_id: str) -> None:
-        """Let the platform's host list lose a host."""
+        """Make the platform stand-in mark a host as failed in its host list."""
         assert self.platform is not None
         url = f"http://{_ADDRESS}:{self.platform.first_line['port']}/faults"
         body = json.dumps({"fail": {"hosts": [host_id]}})
         await httpclient.AsyncHTTPClient().fetch(url, method="POST", body=body)
 
     async def watch_readiness(self) -> None:
-        """Follow the readiness of all nodes, as the platform's balancer does."""
+        """Poll the readiness of all nodes until cancelled, as a load balancer does."""
         while True:
             for node in self.nodes:
                 node.is_ready = await self._is_ready(node)
@@ -135,7 +135,7 @@
         Raises
         ------
         processes.StartError
-            A node ended or is not ready in time.
+            A node ended, or is not ready in time.
         """
         loop = asyncio.get_running_loop()
         until = loop.time() + _READY_LIMIT_S
@@ -144,7 +144,8 @@
             while not await self._is_ready(node):
                 if not node.process.is_running or loop.time() > until:
                     raise processes.StartError(
-                        f"{node.name} is not ready\n{node.process.log_tail()}"
+                        f"{node.name} ended or is not ready in time\n"
+                        f"{node.process.log_tail()}"
                     )
                 await asyncio.sleep(_POLL_S)
 
@@ -156,7 +157,7 @@
     directory: pathlib.Path,
     document: model.Document,
 ) -> AsyncIterator[Deployment]:
-    """Start a deployment, give it when its nodes are ready, and end it."""
+    """Start a deployment, yield it when its nodes are ready, and end it on exit."""
     directory.mkdir()
     environment = {"SHIV_ROOT": str(directory.parent / "shiv")}
     async with processes.group(directory, environment) as group:
@@ -219,7 +220,7 @@
 async def _write_settings(
     deployment: Deployment, document: model.Document, platform: processes.Process
 ) -> None:
-    """Write the settings of three nodes in the first two data centres."""
+    """Write the settings of three nodes, spread over the first two data centres."""
     assert deployment.log_service is not None
     data_centres = sorted({host.data_centre for host in document.hosts.values()})
     ports = free_ports(9)
@@ -273,11 +274,11 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Reserve free ports by binding all of them before any is closed."""
+    """Return free ports; all are bound before any is closed, so that they differ."""
     with contextlib.ExitStack() as stack:
         ports = []
         for _ in range(count):
-            probe = stack.enter_context(socket.socket())
-            probe.bind((_ADDRESS, 0))
-            ports.append(probe.getsockname()[1])
+            listener = stack.enter_context(socket.socket())
+            listener.bind((_ADDRESS, 0))
+            ports.append(listener.getsockname()[1])
     return ports
--- a/demo/documents.py
+++ b/demo/documents.py
@@ -1,4 +1,4 @@
-"""Smaller documents for the demo, cut from the examples of both users."""
+"""Small documents for the demo, derived from the example documents of both users."""
 
 import dataclasses
 import json
@@ -8,7 +8,7 @@
 
 _EXAMPLES = pathlib.Path(__file__).parents[1] / "examples"
 HOSTS_PER_POOL = 4
-MIN_AVAILABLE = 2  # one host in a wave and one lost rack still fit
+MIN_AVAILABLE = 2  # allows one host in a wave and one failed rack at once
 
 
 def small_document(name: str) -> model.Document:
@@ -17,7 +17,7 @@
     pools = {
         pool_name: dataclasses.replace(
             pool,
-            host_ids=_spread(full, pool.host_ids),
+            host_ids=_spread_over_data_centres(full, pool.host_ids),
             budget=model.Budget(
                 min_available=MIN_AVAILABLE,
                 max_out_per_rack=1,
@@ -28,10 +28,10 @@
         )
         for pool_name, pool in full.pools.items()
     }
-    kept = {host_id for pool in pools.values() for host_id in pool.host_ids}
+    kept_host_ids = {host_id for pool in pools.values() for host_id in pool.host_ids}
     return dataclasses.replace(
         full,
-        hosts={i: host for i, host in full.hosts.items() if i in kept},
+        hosts={i: host for i, host in full.hosts.items() if i in kept_host_ids},
         pools=pools,
         maintenance=dataclasses.replace(
             full.maintenance, max_wave_hosts=2, survive="rack", paused=True
@@ -62,7 +62,7 @@
 
 
 def with_waves(document: model.Document, is_running: bool) -> model.Document:
-    """Return the document with waves running or paused."""
+    """Return the document with maintenance waves running or paused."""
     return dataclasses.replace(
         document,
         maintenance=dataclasses.replace(document.maintenance, paused=not is_running),
@@ -76,14 +76,18 @@
     path.write_text("\n".join(lines) + "\n")
 
 
-def _spread(document: model.Document, host_ids: tuple[str, ...]) -> tuple[str, ...]:
-    """Return four hosts of a pool in as many data centres as possible."""
-    seen: dict[str, int] = {}
+def _spread_over_data_centres(
+    document: model.Document, host_ids: tuple[str, ...]
+) -> tuple[str, ...]:
+    """Return up to `HOSTS_PER_POOL` hosts, in as many data centres as possible."""
+    counts_by_data_centre: dict[str, int] = {}
     ranked: list[tuple[int, str]] = []
     for host_id in host_ids:
         data_centre = document.hosts[host_id].data_centre
-        ranked.append((seen.get(data_centre, 0), host_id))
-        seen[data_centre] = seen.get(data_centre, 0) + 1
+        ranked.append((counts_by_data_centre.get(data_centre, 0), host_id))
+        counts_by_data_centre[data_centre] = (
+            counts_by_data_centre.get(data_centre, 0) + 1
+        )
     ranked.sort(key=lambda pair: pair[0])
     return tuple(host_id for _, host_id in ranked[:HOSTS_PER_POOL])
 
@@ -95,8 +99,8 @@
     for key, value in values.items():
         if isinstance(value, dict):
             tables[key] = value
-        elif value is not None:  # TOML has no null; a key without a value is left out
-            # JSON texts, numbers, booleans and lists of these are valid TOML.
+        elif value is not None:  # TOML has no null: keys without a value are omitted
+            # JSON strings, numbers, booleans and arrays of these are valid TOML.
             lines.append(f"{json.dumps(key)} = {json.dumps(value)}")
     for key, table in tables.items():
         quoted = json.dumps(key)
--- a/demo/processes.py
+++ b/demo/processes.py
@@ -1,4 +1,4 @@
-"""Child processes of the demo: started, watched, ended and waited for."""
+"""Child processes of the demo, all of which are ended with it."""
 
 import asyncio
 import contextlib
@@ -12,35 +12,35 @@
 from typing import Any
 
 _START_LIMIT_S = 30.0  # longest wait for the first line of a stand-in
-_END_LIMIT_S = 5.0  # after this, a process that was told to end is killed
+_END_LIMIT_S = 5.0  # time from SIGTERM to SIGKILL
 
 
 class StartError(Exception):
-    """A process ended or said nothing useful when it was started."""
+    """A process ended, or did not report that it is ready, when it was started."""
 
 
 @dataclasses.dataclass(slots=True)
 class Process:
-    """A running child."""
+    """A child process."""
 
     name: str
     child: asyncio.subprocess.Process
-    log_path: pathlib.Path  # its standard error
-    first_line: dict[str, Any]  # what it printed when it was ready, may be empty
+    log_path: pathlib.Path  # standard error; also standard output if it prints no line
+    first_line: dict[str, Any]  # JSON printed when ready; empty if it prints none
 
     @property
     def is_running(self) -> bool:
-        """Whether it has not ended yet."""
+        """Whether the process has not ended."""
         return self.child.returncode is None
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal unless the process has ended."""
         if self.is_running:
             with contextlib.suppress(ProcessLookupError):
                 self.child.send_signal(number)
 
     async def wait(self) -> int:
-        """Wait until it has ended and return its exit status."""
+        """Wait until the process has ended and return its exit status."""
         return await self.child.wait()
 
     def log_tail(self, lines: int = 15) -> str:
@@ -50,16 +50,16 @@
 
 
 class ProcessGroup:
-    """Starts processes and remembers them, so that none outlives the demo."""
+    """Starts processes and tracks them, so that all can be ended with the demo."""
 
     processes: list[Process]
     environment: dict[str, str]  # added to the environment of every process
-    _creating: set[asyncio.Task[Process]]  # processes that are just being started
-    _directory: pathlib.Path  # for the processes' standard error
+    _creations: set[asyncio.Task[Process]]  # tasks that are still creating a process
+    _directory: pathlib.Path  # directory of the log files with standard error
 
     def __init__(self, directory: pathlib.Path, environment: dict[str, str]) -> None:
         self.processes = []
-        self._creating = set()
+        self._creations = set()
         self._directory = directory
         self.environment = environment
 
@@ -71,13 +71,14 @@
         Raises
         ------
         StartError
-            It ended, or printed no JSON in time.
+            The process ended, or printed no JSON line in time.
         """
-        # Shielded: a child that was started but not remembered would never be ended.
-        creating = asyncio.create_task(self._create(name, command, prints_line))
-        self._creating.add(creating)
-        creating.add_done_callback(self._creating.discard)
-        process = await asyncio.shield(creating)
+        # Shielded: a cancellation between the start of a child and its registration in
+        # `processes` would leave it running.
+        creation = asyncio.create_task(self._create(name, command, prints_line))
+        self._creations.add(creation)
+        creation.add_done_callback(self._creations.discard)
+        process = await asyncio.shield(creation)
         if prints_line:
             process.first_line = await _read_first_line(process)
         return process
@@ -105,14 +106,14 @@
 
     async def end_all(self) -> None:
         """End all processes and wait for them."""
-        await asyncio.gather(*self._creating, return_exceptions=True)
+        await asyncio.gather(*self._creations, return_exceptions=True)
         for process in self.processes:
-            process.send(signal.SIGTERM)
+            process.send_signal(signal.SIGTERM)
         waiters = [asyncio.create_task(p.wait()) for p in self.processes]
         if waiters:
             await asyncio.wait(waiters, timeout=_END_LIMIT_S)
         for process in self.processes:
-            process.send(signal.SIGKILL)
+            process.send_signal(signal.SIGKILL)
         await asyncio.gather(*waiters)
 
 
@@ -120,7 +121,7 @@
 async def group(
     directory: pathlib.Path, environment: dict[str, str]
 ) -> AsyncIterator[ProcessGroup]:
-    """Give a group of processes and end all of them, also after a failure."""
+    """Yield a process group; all of its processes are ended on exit, also on errors."""
     processes = ProcessGroup(directory, environment)
     try:
         yield processes
@@ -129,7 +130,10 @@
 
 
 async def _finish(task: asyncio.Task[None]) -> None:
-    """Wait for a task also when cancelled, so that no process is left behind."""
+    """Wait for a task to the end before a cancellation is raised.
+
+    Otherwise a cancelled demo would leave processes running.
+    """
     is_cancelled = False
     while not task.done():
         try:
@@ -149,8 +153,9 @@
         values = json.loads(line)
     except (TimeoutError, ValueError) as error:
         raise StartError(
-            f"{process.name} printed no JSON line: {error}\n{process.log_tail()}"
+            f"{process.name} printed no JSON line when it started: {error}\n"
+            f"{process.log_tail()}"
         ) from error
     if not isinstance(values, dict) or not isinstance(values.get("port"), int):
-        raise StartError(f"{process.name} printed no port: {values}")
+        raise StartError(f"{process.name} printed a line without a port: {values}")
     return values
--- a/demo/tests/test_demo.py
+++ b/demo/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""Tests of the parts of the demo that judge a run."""
+"""Tests of the checks, documents and child processes of the demo."""
 
 import asyncio
 import pathlib
@@ -14,7 +14,7 @@
 def test_small_documents_are_valid_as_written(
     name: str, tmp_path: pathlib.Path
 ) -> None:
-    """Guards against documents that the demo writes and the program refuses."""
+    """Guards against a demo that writes documents which the program rejects."""
     small = documents.small_document(name)
     moved, host_id, pool = documents.with_moved_host(small)
     running = documents.with_waves(moved, is_running=True)
@@ -26,59 +26,59 @@
     assert (change.host_id, change.to_pool) == (host_id, pool)
 
 
-def _asked(
+def _make_request(
     result: load.Result, *, repeatable: bool = False, killed: bool = False
-) -> load.Asked:
+) -> load.SentRequest:
     node = deployment.Node("n", "d", 1, 2, 3, was_killed=killed)
-    return load.Asked("1-a", "s", "k", repeatable, node, 0.0, result)
+    return load.SentRequest("1-a", "s", "k", repeatable, node, 0.0, result)
 
 
 @pytest.mark.parametrize(
-    ("asked", "runs", "column", "broken"),
+    ("sent_request", "runs", "column", "violations"),
     [
-        (_asked(load.Result.ANSWERED), 1, "answered", 0),
-        (_asked(load.Result.ANSWERED), 2, "doubled", 1),
-        (_asked(load.Result.ANSWERED, repeatable=True), 2, "answered", 0),
-        (_asked(load.Result.REFUSED), 0, "refused", 0),
-        (_asked(load.Result.REFUSED), 1, "ran_although_refused", 1),
-        (_asked(load.Result.UNKNOWN), 1, "unknown", 0),
-        (_asked(load.Result.CUT), 0, "lost", 1),
-        (_asked(load.Result.CUT, killed=True), 0, "unknown", 0),
-        (_asked(load.Result.LOST, killed=True), 0, "lost", 1),
-        (_asked(load.Result.PENDING), 0, "lost", 1),
+        (_make_request(load.Result.ANSWERED), 1, "answered", 0),
+        (_make_request(load.Result.ANSWERED), 2, "duplicated", 1),
+        (_make_request(load.Result.ANSWERED, repeatable=True), 2, "answered", 0),
+        (_make_request(load.Result.REFUSED), 0, "refused", 0),
+        (_make_request(load.Result.REFUSED), 1, "ran_although_refused", 1),
+        (_make_request(load.Result.UNKNOWN), 1, "unknown", 0),
+        (_make_request(load.Result.DISCONNECTED), 0, "lost", 1),
+        (_make_request(load.Result.DISCONNECTED, killed=True), 0, "unknown", 0),
+        (_make_request(load.Result.LOST, killed=True), 0, "lost", 1),
+        (_make_request(load.Result.PENDING), 0, "lost", 1),
     ],
 )
-def test_tally_counts_broken_promises(
-    asked: load.Asked, runs: int, column: str, broken: int
+def test_tally_counts_violations(
+    sent_request: load.SentRequest, runs: int, column: str, violations: int
 ) -> None:
-    """Guards against a demo that reports success when a promise was broken."""
-    (tally,) = checks.tally([asked], {asked.request_id: runs})
+    """Guards against a demo that reports success although a guarantee was violated."""
+    (tally,) = checks.tally([sent_request], {sent_request.request_id: runs})
     assert getattr(tally, column) == 1
-    assert tally.broken == broken
+    assert tally.violations == violations
 
 
-def test_budget_is_broken_by_one_observation() -> None:
-    """Guards against a short breach hidden by later observations."""
+def test_one_observation_below_the_budget_is_a_violation() -> None:
+    """Guards against a short violation that is hidden by later observations."""
     watch = checks.BudgetWatch(host_count=4)
     for available in (3, 1, 3):
         pool = {"name": "p", "hosts": 4, "available": available, "min_available": 2}
         watch.observe({"pools": [pool]})
-    assert not watch.pools_by_name["p"].is_held
+    assert not watch.pools_by_name["p"].is_within_budget
     assert watch.pools_by_name["p"].most_out == 3
     assert watch.miscounted == 0
     watch.observe({"pools": [{"name": "p", "hosts": 5}]})
     assert watch.miscounted == 1
 
 
-def test_processes_are_ended_after_a_failure(tmp_path: pathlib.Path) -> None:
-    """Guards against processes that outlive a demo that failed."""
+def test_processes_are_ended_after_an_error(tmp_path: pathlib.Path) -> None:
+    """Guards against child processes that keep running after a failed demo."""
 
     async def main() -> processes.Process:
         with pytest.raises(RuntimeError):
             async with processes.group(tmp_path, {}) as group:
                 code = "import time; print('{\"port\": 1}', flush=True); time.sleep(60)"
                 child = await group.start(
-                    "sleeper", (sys.executable, "-c", code), prints_line=True
+                    "sleeping", (sys.executable, "-c", code), prints_line=True
                 )
                 raise RuntimeError
         return child
@@ -86,12 +86,12 @@
     assert not asyncio.run(main()).is_running
 
 
-def test_process_that_says_nothing_is_a_start_error(tmp_path: pathlib.Path) -> None:
-    """Guards against a demo that goes on without one of its parts."""
+def test_process_without_output_raises_a_start_error(tmp_path: pathlib.Path) -> None:
+    """Guards against a demo that continues without one of its processes."""
 
     async def main() -> None:
         async with processes.group(tmp_path, {}) as group:
-            await group.start("mute", (sys.executable, "-c", ""), prints_line=True)
+            await group.start("no-output", (sys.executable, "-c", ""), prints_line=True)
 
     with pytest.raises(processes.StartError):
         asyncio.run(main())
