--- a/bench/fits.py
+++ b/bench/fits.py
@@ -12,9 +12,7 @@
 
     slope: float
     intercept: float
-    residual_share: (
-        float  # largest absolute residual divided by the largest absolute value
-    )
+    residual_share: float  # largest residual over the largest value, both absolute
     exponent: float  # slope in log-log space: 1 for linear, 2 for quadratic growth
 
     def at(self, x: float) -> float:
--- a/bench/policy/__init__.py
+++ b/bench/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the policy with the product's own decision code."""
+"""Benchmarks of the policy, which run the decision code of the product."""
--- a/bench/policy/baselines.py
+++ b/bench/policy/baselines.py
@@ -1,7 +1,7 @@
-"""Simple policies that the product is compared with, at equal capacity.
+"""Baseline policies that the product is compared with, at equal capacity.
 
-Each is a discrete-event simulation without network delay, so a comparison with the
-product, which pays for its hops, favours the baseline.
+Each is a discrete-event simulation without network delay. The product has such delays,
+so a comparison favours the baselines.
 """
 
 import dataclasses
@@ -14,22 +14,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wait:
-    """What one request met."""
+    """Waiting time of one request."""
 
     arrival: workload.Arrival
-    waited_s: float | None  # None: refused, it could not start before its deadline
+    waited_s: float | None  # None: refused, because it did not start in time
 
 
-Key = Callable[[workload.Arrival], float]
+SortKey = Callable[[workload.Arrival], float]
 
 
 def by_arrival(arrival: workload.Arrival) -> float:
-    """Order of first come first served."""
+    """Sort key of first come, first served."""
     return arrival.at_s
 
 
 def by_true_size(arrival: workload.Arrival) -> float:
-    """Order of the clairvoyant bound: the shortest true run time first."""
+    """Sort key of the clairvoyant bound: shortest true run time first."""
     return arrival.run_s
 
 
@@ -37,33 +37,33 @@
     arrivals: Sequence[workload.Arrival],
     slots: int,
     deadline_s: float,
-    key: Key,
+    sort_key: SortKey,
 ) -> list[Wait]:
-    """Run one queue with a number of slots, without preemption.
+    """Simulate one queue and its slots, without preemption.
 
     Parameters
     ----------
     arrivals : sequence of workload.Arrival, shape (n,)
-        In time order.
+        Requests in order of arrival.
     slots : int
-        Requests that run at once.
+        Number of requests that run at once.
     deadline_s : float
-        A request that has not started this long after it came is refused.
-    key : callable
+        A request that has not started this long after its arrival is refused.
+    sort_key : callable
         The queued request with the smallest key starts next.
 
     Returns
     -------
     list of Wait, shape (n,)
     """
-    ends: list[float] = []  # heap of end times of running requests
+    end_times: list[float] = []  # heap, one for each running request
     queue: list[tuple[float, int, workload.Arrival]] = []
     waits: list[Wait] = []
 
     def start_until(now: float) -> None:
-        """Start what can start before ``now``."""
-        while queue and ends and ends[0] <= now:
-            free_at = heapq.heappop(ends)
+        """Start queued requests in the slots that become free until ``now``."""
+        while queue and end_times and end_times[0] <= now:
+            free_at = heapq.heappop(end_times)
             while queue:
                 _, _, arrival = heapq.heappop(queue)
                 waited_s = free_at - arrival.at_s
@@ -71,18 +71,18 @@
                     waits.append(Wait(arrival, None))
                     continue
                 waits.append(Wait(arrival, waited_s))
-                heapq.heappush(ends, free_at + arrival.run_s)
+                heapq.heappush(end_times, free_at + arrival.run_s)
                 break
-        while not queue and ends and ends[0] <= now:
-            heapq.heappop(ends)
+        while not queue and end_times and end_times[0] <= now:
+            heapq.heappop(end_times)
 
     for index, arrival in enumerate(arrivals):
         start_until(arrival.at_s)
-        if len(ends) < slots:
+        if len(end_times) < slots:
             waits.append(Wait(arrival, 0.0))
-            heapq.heappush(ends, arrival.at_s + arrival.run_s)
+            heapq.heappush(end_times, arrival.at_s + arrival.run_s)
         else:
-            heapq.heappush(queue, (key(arrival), index, arrival))
+            heapq.heappush(queue, (sort_key(arrival), index, arrival))
     start_until(float("inf"))
     return waits
 
@@ -91,13 +91,13 @@
     user: workload.User,
     arrivals: Sequence[workload.Arrival],
     deadline_s: float,
-    key: Key,
+    sort_key: SortKey,
 ) -> list[Wait]:
-    """Run every service with its own queue and all of its slots."""
+    """Simulate every service with one queue for all of its slots."""
     waits: list[Wait] = []
     for service in user.services:
-        own = [a for a in arrivals if a.service == service]
-        waits.extend(simulate(own, user.slots, deadline_s, key))
+        service_arrivals = [a for a in arrivals if a.service == service]
+        waits.extend(simulate(service_arrivals, user.slots, deadline_s, sort_key))
     return waits
 
 
@@ -108,25 +108,25 @@
     nodes: int,
     seed: int,
 ) -> list[Wait]:
-    """Run with the slots of each service divided evenly between the nodes.
+    """Simulate nodes that each have an even part of the slots of each service.
 
-    The balancer sends each request to a node at random.
+    The balancer sends each request to a random node.
     """
     generator = random.Random(seed)
     waits: list[Wait] = []
     for service in user.services:
-        by_node: list[list[workload.Arrival]] = [[] for _ in range(nodes)]
+        arrivals_by_node: list[list[workload.Arrival]] = [[] for _ in range(nodes)]
         for arrival in arrivals:
             if arrival.service == service:
-                by_node[generator.randrange(nodes)].append(arrival)
-        for node, own in enumerate(by_node):
+                arrivals_by_node[generator.randrange(nodes)].append(arrival)
+        for node, node_arrivals in enumerate(arrivals_by_node):
             slots = user.slots // nodes + (node < user.slots % nodes)
-            waits.extend(simulate(own, slots, deadline_s, by_arrival))
+            waits.extend(simulate(node_arrivals, slots, deadline_s, by_arrival))
     return waits
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """Return the smallest value that ``share`` of the values do not exceed."""
+    """Return the smallest value that a share of the values does not exceed."""
     ordered = sorted(values)
     if not ordered:
         return 0.0
--- a/bench/policy/buffers.py
+++ b/bench/policy/buffers.py
@@ -1,8 +1,8 @@
-"""Cost of spare capacity: a buffer shared by services against one for each pool.
+"""Cost of spare capacity: one buffer shared by all services, or one for each pool.
 
-Queues peak by turns. The cost is counted in targets beyond those that carry the mean.
-Both ways are brought to the same refused share: a request is refused, or counts as
-refused, if it has waited longer than a short deadline.
+Services peak one after the other. The cost is the number of targets beyond those that
+carry the mean demand. Both buffers are sized for the same share of refused requests; a
+request counts as refused if it waits longer than a short deadline.
 """
 
 import dataclasses
@@ -13,25 +13,25 @@
 from clementinespar.requests import model
 
 SEEDS = (1, 2, 3)
-# Requests must start soon, so that the queue does not stand in for capacity.
+# The short deadline keeps the queue from absorbing peaks in place of capacity.
 SHAPE = workload.Shape(cycles=1, deadline_s=3.0, peak_load=1.0)
 REFUSED_SHARE = 0.01
-MEAN_UTILISATION = 0.8  # of the targets that carry the mean
+MEAN_UTILISATION = 0.8  # of the targets that carry the mean demand
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BufferRow:
-    """Smallest buffer that keeps the refused share."""
+    """Smallest buffer with at most `REFUSED_SHARE` of the requests refused."""
 
     user: str
     policy: str
     targets: int  # targets of all pools
-    buffer_targets: int  # beyond those that carry the mean
+    buffer_targets: int  # beyond those that carry the mean demand
     refused_share: waiting.Spread
 
 
 def _base_targets(user: workload.User) -> int:
-    """Return the targets of one service that carry its mean."""
+    """Return the number of targets that carry the mean demand of one service."""
     mean_slots = SHAPE.peak_load * user.slots / workload.PEAK_FACTOR
     return max(1, round(mean_slots / MEAN_UTILISATION / workload.SLOTS_PER_TARGET))
 
@@ -45,50 +45,59 @@
             nodes=3, targets_by_service=targets_by_service, lends=lends
         )
         run = waiting.run_product(user, scheme, seed, SHAPE)
-        late = sum(
+        refused = sum(
             result.kind is not model.OutcomeKind.ANSWERED for result in run.results
         )
-        shares.append(late / len(run.results))
+        shares.append(refused / len(run.results))
     return waiting.Spread(tuple(shares))
 
 
-def _smallest(
+def _find_smallest_buffer(
     user: workload.User, policy: str, *, lends: bool, largest: int
 ) -> BufferRow:
-    """Return the smallest buffer by bisection over its number of targets.
+    """Find the smallest buffer by bisection over its number of targets.
 
-    Without lending, the buffer is the same number of targets in each pool; with
-    lending, it stands in the spare pool.
+    Without lending, each pool has a buffer of this size; with lending, only the spare
+    pool has one.
     """
-    base = _base_targets(user)
+    base_targets = _base_targets(user)
 
-    def sizes(extra: int) -> dict[str, int]:
+    def sizes(buffer_targets: int) -> dict[str, int]:
         return {
-            service: base + (extra if not lends or service == user.spare else 0)
+            service: base_targets
+            + (buffer_targets if not lends or service == user.spare else 0)
             for service in user.services
         }
 
     low, high = 0, largest
-    best = _refused_shares(user, sizes(high), lends=lends)
+    best_shares = _refused_shares(user, sizes(high), lends=lends)
     while low < high:
         middle = (low + high) // 2
         shares = _refused_shares(user, sizes(middle), lends=lends)
         if max(shares.values) <= REFUSED_SHARE:
-            high, best = middle, shares
+            high, best_shares = middle, shares
         else:
             low = middle + 1
     targets = sum(sizes(high).values())
     return BufferRow(
-        user.name, policy, targets, targets - base * len(user.services), best
+        user.name,
+        policy,
+        targets,
+        targets - base_targets * len(user.services),
+        best_shares,
     )
 
 
 def measure(user: workload.User) -> list[BufferRow]:
-    """Compare one buffer for each pool with a shared one."""
+    """Compare a buffer in each pool with a shared one."""
     largest = user.targets_per_service * 2
     return [
-        _smallest(user, "a buffer in each pool", lends=False, largest=largest),
-        _smallest(user, "product: shared buffer", lends=True, largest=largest * 2),
+        _find_smallest_buffer(
+            user, "a buffer in each pool", lends=False, largest=largest
+        ),
+        _find_smallest_buffer(
+            user, "product: shared buffer", lends=True, largest=largest * 2
+        ),
     ]
 
 
--- a/bench/policy/cluster.py
+++ b/bench/policy/cluster.py
@@ -1,7 +1,7 @@
-"""The product's request path over fake targets, on a paused clock.
+"""Request path of the product with fake targets, on a paused clock.
 
-Every entry node has its own dispatcher and router; the targets are shared. Messages
-between nodes and to targets take the link delay of the user.
+Each entry node has its own dispatcher and router; targets are shared. Messages
+between nodes and to targets are delayed by the link delay of the user.
 """
 
 import asyncio
@@ -26,8 +26,8 @@
 
 Failure = Literal["killed", "fails all", "silent"]
 
-# A claim waits for one batch and one append to the log and its read.
-CLAIM_S = 0.01
+# A claim waits for its batch, one append to the log, and the read of its entry.
+CLAIM_DELAY_S = 0.01
 
 
 def make_document(
@@ -36,21 +36,21 @@
     targets_by_service: Mapping[str, int] | None = None,
     lends: bool = False,
 ) -> document_model.Document:
-    """Return the document of a user, at its size of today by default.
+    """Return the document of a user, by default at its current size.
 
-    With ``lends``, all services may borrow idle slots of the spare pool.
+    With ``lends``, all other services may borrow idle slots of the spare pool.
     """
-    counts = targets_by_service or {}
+    target_counts = targets_by_service or {}
     hosts: dict[str, document_model.Host] = {}
     pools: dict[str, document_model.Pool] = {}
     services: dict[str, document_model.Service] = {}
-    for turn, service in enumerate(user.services):
+    for service_index, service in enumerate(user.services):
         host_ids = []
-        count = counts.get(service, user.targets_per_service)
+        count = target_counts.get(service, user.targets_per_service)
         for index in range(count):
             host_id = f"{service}-{index}"
             rack = index * user.racks_per_pool // count
-            data_centre = (turn + rack) % user.data_centres
+            data_centre = (service_index + rack) % user.data_centres
             hosts[host_id] = document_model.Host(
                 data_centre=f"dc-{data_centre}", rack=f"{service}-rack-{rack}"
             )
@@ -82,7 +82,7 @@
 
 
 class StaticSource:
-    """`FleetSource` of a document that never changes."""
+    """`FleetSource` with a document that never changes."""
 
     state: fleet_state.FleetState
 
@@ -101,7 +101,7 @@
 
 
 class StaticHostList:
-    """`HostListSource` with all hosts of a document live."""
+    """`HostListSource` in which all hosts of a document are live."""
 
     latest: platform_service.HostList | None
     age_s: float = 0.0
@@ -119,7 +119,7 @@
 
 
 class SharedClaims:
-    """`ClaimService` of all nodes: the first claim of an id wins after a delay."""
+    """`ClaimService` shared by all nodes; the first claim of an id succeeds."""
 
     _claimed: set[str]
 
@@ -127,41 +127,41 @@
         self._claimed = set()
 
     async def claim(self, request_id: str, timeout_s: float) -> codes.ResultCode:
-        """Claim an id."""
-        await asyncio.sleep(CLAIM_S)
+        """Claim a request id, after a delay."""
+        await asyncio.sleep(CLAIM_DELAY_S)
         if request_id in self._claimed:
             return codes.ResultCode.ALREADY_CLAIMED
         self._claimed.add(request_id)
         return codes.ResultCode.OK
 
     async def release(self, request_id: str) -> None:
-        """Release an id."""
+        """Release a request id."""
         self._claimed.discard(request_id)
 
 
 @dataclasses.dataclass(slots=True)
 class _RemoteHandler:
-    """Owner on another node, one link delay away in each direction."""
+    """Handler of an owner on another node, with a link delay in each direction."""
 
     owner: model.RequestHandler
-    link_s: float
+    link_delay_s: float
 
     async def handle(
         self, request: model.Request, on_started: Callable[[], None]
     ) -> model.Outcome:
-        await asyncio.sleep(self.link_s)
+        await asyncio.sleep(self.link_delay_s)
         outcome = await self.owner.handle(request, on_started)
-        await asyncio.sleep(self.link_s)
+        await asyncio.sleep(self.link_delay_s)
         return outcome
 
 
 @dataclasses.dataclass(slots=True)
-class _Directory:
-    """`OwnerDirectory` by rendezvous hashing, or every node on its own."""
+class _OwnerDirectory:
+    """`OwnerDirectory` by rendezvous hashing; without owners, only the node itself."""
 
     node: str
     dispatchers_by_node: dict[str, dispatcher.Dispatcher]
-    link_s: float
+    link_delay_s: float
     has_owners: bool
     document: document_model.Document
 
@@ -170,47 +170,47 @@
         if not self.has_owners:
             local = self.dispatchers_by_node[self.node]
             return [model.OwnerCandidate(self.node, local, is_local=True)]
-        return [self._candidate(n) for n in self._order(service)]
+        return [self._candidate(n) for n in self._owner_order(service)]
 
-    def _order(self, service: str) -> Iterable[str]:
+    def _owner_order(self, service: str) -> Iterable[str]:
         group = self.document.queue_group(service)
         return rendezvous.order_nodes(group, list(self.dispatchers_by_node))
 
     def _candidate(self, node: str) -> model.OwnerCandidate:
         handler: model.RequestHandler = self.dispatchers_by_node[node]
         if node != self.node:
-            handler = _RemoteHandler(handler, self.link_s)
+            handler = _RemoteHandler(handler, self.link_delay_s)
         return model.OwnerCandidate(node, handler, is_local=node == self.node)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """What became of one request."""
+    """Outcome of one request."""
 
     arrival: workload.Arrival
     kind: model.OutcomeKind
     code: codes.ResultCode
     delay_s: float  # latency beyond the true run time
-    runs: int  # how often targets started it
+    runs: int  # number of times that targets started it
 
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """Results of one run."""
+    """Results of one run of a cluster."""
 
     results: list[Result]
-    refused_full: int  # attempts that reached a target whose slots were all busy
+    refused_full: int  # attempts that reached a target without a free slot
     attempts: int  # requests that targets started
     lost: int  # requests without an outcome
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Scheme:
-    """How the entry nodes share the targets."""
+    """Set-up of a run: entry nodes, targets and their failures."""
 
     nodes: int = 3
-    has_owners: bool = True  # False: each node admits on its own
-    failed_share: float = 0.0  # targets that fail in the middle of the run
+    has_owners: bool = True  # False: each node admits independently
+    failed_share: float = 0.0  # share of the targets that fail
     failed_at_s: float = math.inf
     failure: Failure = "killed"
     targets_by_service: Mapping[str, int] | None = None
@@ -218,7 +218,7 @@
 
 
 class Cluster:
-    """Entry nodes and targets of one user."""
+    """Routers of the entry nodes, and targets, of one user."""
 
     routers: list[router.Router]
     targets_by_host_id: dict[str, fake_target.FakeTarget]
@@ -235,7 +235,7 @@
             for host_id in document.hosts
         }
         transport = fake_target.FakeTargetTransport(
-            self.targets_by_host_id, user.link_s
+            self.targets_by_host_id, user.link_delay_s
         )
         claims = SharedClaims()
         dispatchers_by_node = {
@@ -249,10 +249,10 @@
         }
         self.routers = [
             router.Router(
-                _Directory(
+                _OwnerDirectory(
                     node,
                     dispatchers_by_node,
-                    user.link_s,
+                    user.link_delay_s,
                     scheme.has_owners,
                     document,
                 ),
@@ -269,7 +269,7 @@
     arrivals: Sequence[workload.Arrival],
     seed: int,
 ) -> Run:
-    """Send all arrivals through random nodes and collect what became of them."""
+    """Send all arrivals through random nodes and collect their outcomes."""
     loop = asyncio.get_running_loop()
     generator = random.Random(seed)
     cluster = Cluster(user, shape, scheme)
@@ -279,28 +279,28 @@
         loop.call_at(start + scheme.failed_at_s, _fail_targets, cluster, scheme)
     results: list[Result] = []
 
-    async def send(arrival: workload.Arrival, entry: router.Router) -> None:
-        began = loop.time()
+    async def send(arrival: workload.Arrival, node_router: router.Router) -> None:
+        sent_at = loop.time()
         request = model.Request(
             request_id=identifiers.new_id(),
             service=arrival.service,
             kind=arrival.kind,
             body=b'{"run_ms": %f}' % (arrival.run_s * 1000),
             content_type="application/json",
-            deadline=began + shape.deadline_s,
+            deadline=sent_at + shape.deadline_s,
             declared_run_ms=arrival.declared_run_ms,
         )
-        outcome = await entry.handle(request)
+        outcome = await node_router.handle(request)
         results.append(
             Result(
                 arrival,
                 outcome.kind,
                 outcome.code,
-                loop.time() - began - arrival.run_s,
+                loop.time() - sent_at - arrival.run_s,
                 runs=sum(
-                    fake.state.runs_by_request_id[request.request_id]
-                    for fake in cluster.targets_by_host_id.values()
-                    if request.request_id in fake.state.runs_by_request_id
+                    target.state.runs_by_request_id[request.request_id]
+                    for target in cluster.targets_by_host_id.values()
+                    if request.request_id in target.state.runs_by_request_id
                 ),
             )
         )
@@ -310,15 +310,15 @@
         delay_s = start + arrival.at_s - loop.time()
         if delay_s > 0:
             await asyncio.sleep(delay_s)
-        entry = generator.choice(cluster.routers)
-        tasks.append(loop.create_task(send(arrival, entry)))
+        node_router = generator.choice(cluster.routers)
+        tasks.append(loop.create_task(send(arrival, node_router)))
     await asyncio.wait(tasks, timeout=shape.deadline_s * 3)
     lost = sum(not task.done() for task in tasks)
     for task in tasks:
         if task.done():
             task.result()
         task.cancel()
-    states = [fake.state for fake in cluster.targets_by_host_id.values()]
+    states = [target.state for target in cluster.targets_by_host_id.values()]
     runs: collections.Counter[str] = collections.Counter()
     for state in states:
         runs.update(state.runs_by_request_id)
@@ -331,14 +331,14 @@
 
 
 def _fail_targets(cluster: Cluster, scheme: Scheme) -> None:
-    """Let every n-th target fail, so that all pools lose the same share."""
+    """Make every n-th target fail, so that all pools lose the same share."""
     host_ids = sorted(cluster.targets_by_host_id)
     for host_id in host_ids[:: round(1 / scheme.failed_share)]:
-        fake = cluster.targets_by_host_id[host_id]
+        target = cluster.targets_by_host_id[host_id]
         match scheme.failure:
             case "killed":
-                fake.kill()
+                target.kill()
             case "fails all":
-                fake.state.faults.fail_all = True
+                target.state.faults.fail_all = True
             case "silent":
-                fake.state.faults.freeze = True
+                target.state.faults.freeze = True
--- a/bench/policy/hosts.py
+++ b/bench/policy/hosts.py
@@ -1,4 +1,4 @@
-"""Roll-out time of maintenance, availability during waves, and host moves."""
+"""Duration of a maintenance roll-out, availability during it, and host moves."""
 
 import asyncio
 import dataclasses
@@ -25,23 +25,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RollOutRow:
-    """One complete maintenance of all hosts of a user."""
+    """Maintenance of all hosts of a user under one policy."""
 
     user: str
     policy: str
     minutes: waiting.Spread
-    least_spare: waiting.Spread  # least of available minus min_available, all pools
-    planned_breaches: waiting.Spread  # seconds a pool was below budget by our doing
+    least_spare: waiting.Spread  # lowest available minus min_available of any pool
+    planned_breaches: waiting.Spread  # seconds below budget without a failed host
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MoveRow:
-    """Host moves while demand changes slowly, with peaks of a few seconds."""
+    """Host moves under slowly changing demand with peaks of a few seconds."""
 
     user: str
     policy: str
     moves: waiting.Spread
-    short_minutes: waiting.Spread  # minutes in which a pool had too few hosts
+    short_minutes: waiting.Spread  # minutes with too few hosts in a pool, summed
 
 
 def _document(user: workload.User, *, is_paused: bool) -> model.Document:
@@ -50,10 +50,10 @@
     return dataclasses.replace(document, maintenance=maintenance)
 
 
-async def _roll_out(
+async def _run_roll_out(
     user: workload.User, seed: int, *, fails_rack: bool
 ) -> tuple[float, int, float]:
-    """Return minutes, least spare hosts, and seconds below budget by own acts."""
+    """Return minutes, lowest spare hosts, and seconds of planned budget breaches."""
     document = _document(user, is_paused=False)
     platform = fake_platform.FakePlatform(
         fleets.seeds_of(document), drain_s=DRAIN_S, reboot_s=REBOOT_S
@@ -72,11 +72,11 @@
             await node.run_rounds(_CHECK_S)
             if loop.time() >= fails_at:
                 fails_at = math.inf
-                victim = document.hosts[generator.choice(sorted(document.hosts))]
+                failed_host = document.hosts[generator.choice(sorted(document.hosts))]
                 rack = [
                     host_id
-                    for host_id, place in document.hosts.items()
-                    if place.rack == victim.rack
+                    for host_id, host in document.hosts.items()
+                    if host.rack == failed_host.rack
                 ]
                 platform.fail(rack)
             if loop.time() >= recovers_at:
@@ -99,11 +99,11 @@
 
 
 def measure_roll_out(user: workload.User) -> list[RollOutRow]:
-    """Maintain every host once: product, product with a failing rack, and bounds."""
+    """Compare the maintenance of all hosts by the product with simple bounds."""
     document = _document(user, is_paused=False)
     step_s = DRAIN_S + REBOOT_S
     one_by_one = len(document.hosts) * step_s / 60
-    # The budget of a pool leaves two hosts; no pool can be faster than that.
+    # The budget of a pool allows two hosts out at once, which bounds its roll-out.
     bound = math.ceil(user.targets_per_service / 2) * step_s / 60
     rows = [
         RollOutRow(user.name, name, _fixed(minutes), _fixed(spare), _fixed(0))
@@ -117,7 +117,7 @@
         ("product, a rack fails for 15 minutes", True),
     ):
         results = [
-            paused_clock.run(_roll_out(user, seed, fails_rack=fails_rack))
+            paused_clock.run(_run_roll_out(user, seed, fails_rack=fails_rack))
             for seed in SEEDS
         ]
         rows.append(
@@ -136,30 +136,32 @@
     return waiting.Spread((value,))
 
 
-def _mean_slots(user: workload.User, service: int, at_s: float, busy: int) -> float:
-    """Return the slow part of the slots that a service asks for at a time.
+def _mean_slots(user: workload.User, service: int, at_s: float, seed: int) -> float:
+    """Return the mean demand of a service at a time, without its short peaks.
 
-    One service after the other is busy for an hour.
+    One service after the other is busy for an hour; the seed selects the first.
     """
-    turn = int(at_s / 3600) % len(user.services)
-    is_busy = turn == (service - busy) % len(user.services)
+    busy_index = int(at_s / 3600) % len(user.services)
+    is_busy = busy_index == (service - seed) % len(user.services)
     return user.slots * (0.9 if is_busy else 0.15)
 
 
-def _level(user: workload.User, service: int, at_s: float, busy: int) -> float:
-    """Return the slots that a service asks for at a time.
+def _demanded_slots(user: workload.User, service: int, at_s: float, seed: int) -> float:
+    """Return the number of slots that a service needs at a time.
 
-    Peaks of five times the mean for four seconds come by turns on top of the mean.
+    One service after the other peaks for four seconds at five times its mean.
     """
-    mean = _mean_slots(user, service, at_s, busy)
-    turn = int(at_s / 4.0) % len(user.services)
-    return mean * (workload.PEAK_FACTOR if turn == service else workload.QUIET_FACTOR)
+    mean_slots = _mean_slots(user, service, at_s, seed)
+    peak_index = int(at_s / 4.0) % len(user.services)
+    return mean_slots * (
+        workload.PEAK_FACTOR if peak_index == service else workload.OFF_PEAK_FACTOR
+    )
 
 
-async def _moves(
+async def _run_moves(
     user: workload.User, seed: int, *, is_smoothed: bool
 ) -> tuple[int, float]:
-    """Return the number of moves and the minutes with too few hosts in a pool."""
+    """Return the number of moves, and the minutes with too few hosts in a pool."""
     document = _document(user, is_paused=True)
     platform = fake_platform.FakePlatform(
         fleets.seeds_of(document), drain_s=DRAIN_S, reboot_s=REBOOT_S
@@ -174,7 +176,7 @@
         while loop.time() - began < MOVE_HOURS * 3600:
             now = loop.time()
             for index, service in enumerate(user.services):
-                level = _level(user, index, now - began, seed)
+                level = _demanded_slots(user, index, now - began, seed)
                 meters[index].set_level(level, now)
                 smoothed = meters[index].read(now)[0]
                 node.demand.slots_by_service[service] = (
@@ -183,8 +185,8 @@
                 serving = sum(
                     host.is_available for host in node.state.pools.hosts_of(service)
                 )
-                slow = _mean_slots(user, index, now - began, seed)
-                if serving * workload.SLOTS_PER_TARGET < slow:
+                mean_slots = _mean_slots(user, index, now - began, seed)
+                if serving * workload.SLOTS_PER_TARGET < mean_slots:
                     short_s += _CHECK_S
             await node.run_rounds(_CHECK_S)
             operations.update(
@@ -197,20 +199,21 @@
 
 @contextmanager
 def _without_hysteresis() -> Iterator[None]:
-    kept = capacity_planner.SHORTAGE_S, capacity_planner.ROOM_S
+    """Set the times that a shortage or a surplus must last to 0."""
+    original = capacity_planner.SHORTAGE_S, capacity_planner.ROOM_S
     capacity_planner.SHORTAGE_S = capacity_planner.ROOM_S = 0.0
     try:
         yield
     finally:
-        capacity_planner.SHORTAGE_S, capacity_planner.ROOM_S = kept
+        capacity_planner.SHORTAGE_S, capacity_planner.ROOM_S = original
 
 
 def measure_moves(user: workload.User) -> list[MoveRow]:
-    """Count moves of the product and of a planner that follows each observation."""
+    """Compare the product with a planner that follows each observation of demand."""
 
     def measure(policy: str, *, is_smoothed: bool) -> MoveRow:
         results = [
-            paused_clock.run(_moves(user, seed, is_smoothed=is_smoothed))
+            paused_clock.run(_run_moves(user, seed, is_smoothed=is_smoothed))
             for seed in SEEDS
         ]
         return MoveRow(
@@ -226,7 +229,7 @@
 
 
 def roll_out_table(rows: Sequence[RollOutRow]) -> str:
-    """Return the Markdown table of roll-out times."""
+    """Return the Markdown table of maintenance roll-outs."""
     return tables.markdown(
         (
             "user",
--- a/bench/policy/waiting.py
+++ b/bench/policy/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting of short work, over-admission, and load from retries."""
+"""Waiting times of short work, over-admission, and load from retries."""
 
 import dataclasses
 import statistics
@@ -19,12 +19,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Spread:
-    """A figure over several seeds."""
+    """Values of a figure for several seeds."""
 
     values: tuple[float, ...]
 
     def text(self, digits: int = 3) -> str:
-        """Return the median with the smallest and largest value."""
+        """Return the median, and the smallest and largest value in parentheses."""
         middle = statistics.median(self.values)
         return (
             f"{middle:.{digits}f} "
@@ -34,18 +34,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WaitingRow:
-    """Waiting under one policy for one user, in seconds."""
+    """Waiting times of one user under one policy, in seconds."""
 
     user: str
     policy: str
-    short_by_share: dict[float, Spread]  # waiting of short work that came at a peak
+    short_by_share: dict[float, Spread]  # short work that arrived at a peak
     long_by_share: dict[float, Spread]
-    refused: Spread  # requests refused as not run
+    refused: Spread  # requests refused without being run
     unknown: Spread
-    refused_full: Spread  # attempts that met a target with all slots busy
+    refused_full: Spread  # attempts that reached a target without a free slot
 
 
-Sample = tuple[workload.Arrival, float | None]  # waiting, None if refused
+Sample = tuple[workload.Arrival, float | None]  # waiting time, None if refused
 
 
 def _waiting_row(
@@ -70,7 +70,9 @@
             )
         )
 
-    refused = [sum(w is None for _, w in samples) for samples, _, _ in runs]
+    refused = [
+        sum(waited_s is None for _, waited_s in samples) for samples, _, _ in runs
+    ]
     return WaitingRow(
         user=user.name,
         policy=policy,
@@ -87,13 +89,13 @@
     )
 
 
-def _simulated(
+def _simulated_samples(
     waits: Sequence[baselines.Wait],
 ) -> tuple[list[Sample], int, int]:
     return [(wait.arrival, wait.waited_s) for wait in waits], 0, 0
 
 
-def _product(run: cluster.Run) -> tuple[list[Sample], int, int]:
+def _product_samples(run: cluster.Run) -> tuple[list[Sample], int, int]:
     samples: list[Sample] = [
         (
             result.arrival,
@@ -108,7 +110,7 @@
 def run_product(
     user: workload.User, scheme: cluster.Scheme, seed: int, shape: workload.Shape
 ) -> cluster.Run:
-    """Run the product's request path once on a paused clock."""
+    """Run the request path of the product once, on a paused clock."""
     arrivals = workload.arrivals(user, shape, seed)
     return paused_clock.run(cluster.run(user, shape, scheme, arrivals, seed))
 
@@ -122,11 +124,13 @@
         runs = []
         for seed in SEEDS:
             arrivals = workload.arrivals(user, SHAPE, seed)
-            runs.append(_simulated(policy(arrivals, seed)))
+            runs.append(_simulated_samples(policy(arrivals, seed)))
         return _waiting_row(user, name, runs)
 
     def product(name: str, scheme: cluster.Scheme) -> WaitingRow:
-        runs = [_product(run_product(user, scheme, seed, SHAPE)) for seed in SEEDS]
+        runs = [
+            _product_samples(run_product(user, scheme, seed, SHAPE)) for seed in SEEDS
+        ]
         return _waiting_row(user, name, runs)
 
     deadline_s = SHAPE.deadline_s
@@ -158,30 +162,30 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryRow:
-    """Extra load while a fifth of the targets fails."""
+    """Additional load while `FAILED_SHARE` of the targets fail."""
 
     user: str
     failure: str
     policy: str
-    extra_share: Spread  # starts beyond one for each request, over requests
+    extra_share: Spread  # repeated starts at targets, over the requests
     refused: Spread
     unknown: Spread
     lost: Spread
-    doubled_orders: Spread  # orders that targets started more than once
+    repeated_orders: Spread  # orders that targets started more than once
 
 
 @contextmanager
 def _without_retry_budget() -> Iterator[None]:
-    kept = retries.RETRY_SHARE
+    original = retries.RETRY_SHARE
     retries.RETRY_SHARE = 1e9
     try:
         yield
     finally:
-        retries.RETRY_SHARE = kept
+        retries.RETRY_SHARE = original
 
 
 def measure_retries(user: workload.User) -> list[RetryRow]:
-    """Let a fifth of the targets fail in the middle of the first peak."""
+    """Measure retries when targets fail in the middle of the first peak."""
     rows = []
     for failure in FAILURES:
         with _without_retry_budget():
@@ -208,7 +212,7 @@
         refused=Spread(tuple(_count(run, model.OutcomeKind.NOT_RUN) for run in runs)),
         unknown=Spread(tuple(_count(run, model.OutcomeKind.UNKNOWN) for run in runs)),
         lost=Spread(tuple(run.lost for run in runs)),
-        doubled_orders=Spread(
+        repeated_orders=Spread(
             tuple(
                 sum(r.runs > 1 and r.arrival.kind == "order" for r in run.results)
                 for run in runs
@@ -275,7 +279,7 @@
                 row.refused.text(0),
                 row.unknown.text(0),
                 row.lost.text(0),
-                row.doubled_orders.text(0),
+                row.repeated_orders.text(0),
             )
             for row in rows
         ],
