--- a/bench/capacity/__main__.py
+++ b/bench/capacity/__main__.py
@@ -48,10 +48,10 @@
 
 def _run(*arguments: str) -> Figures:
     """Run one measurement in a process of its own and return its figures."""
-    completed = subprocess.run(
+    done = subprocess.run(
         [sys.executable, "-m", *arguments], check=True, capture_output=True, text=True
     )
-    figures: Figures = json.loads(completed.stdout.splitlines()[-1])
+    figures: Figures = json.loads(done.stdout.splitlines()[-1])
     print(" ".join(arguments), figures, flush=True)
     return figures
 
--- a/bench/policy/baselines.py
+++ b/bench/policy/baselines.py
@@ -20,7 +20,7 @@
     waited_s: float | None  # None: refused, because it did not start in time
 
 
-SortKey = Callable[[workload.Arrival], float]
+Key = Callable[[workload.Arrival], float]
 
 
 def by_arrival(arrival: workload.Arrival) -> float:
@@ -37,7 +37,7 @@
     arrivals: Sequence[workload.Arrival],
     slots: int,
     deadline_s: float,
-    sort_key: SortKey,
+    key: Key,
 ) -> list[Wait]:
     """Simulate one queue and its slots, without preemption.
 
@@ -49,21 +49,21 @@
         Number of requests that run at once.
     deadline_s : float
         A request that has not started this long after its arrival is refused.
-    sort_key : callable
+    key : callable
         The queued request with the smallest key starts next.
 
     Returns
     -------
     list of Wait, shape (n,)
     """
-    end_times: list[float] = []  # heap, one for each running request
+    ends: list[float] = []  # heap of the end times of running requests
     queue: list[tuple[float, int, workload.Arrival]] = []
     waits: list[Wait] = []
 
     def start_until(now: float) -> None:
         """Start queued requests in the slots that become free until ``now``."""
-        while queue and end_times and end_times[0] <= now:
-            free_at = heapq.heappop(end_times)
+        while queue and ends and ends[0] <= now:
+            free_at = heapq.heappop(ends)
             while queue:
                 _, _, arrival = heapq.heappop(queue)
                 waited_s = free_at - arrival.at_s
@@ -71,18 +71,18 @@
                     waits.append(Wait(arrival, None))
                     continue
                 waits.append(Wait(arrival, waited_s))
-                heapq.heappush(end_times, free_at + arrival.run_s)
+                heapq.heappush(ends, free_at + arrival.run_s)
                 break
-        while not queue and end_times and end_times[0] <= now:
-            heapq.heappop(end_times)
+        while not queue and ends and ends[0] <= now:
+            heapq.heappop(ends)
 
     for index, arrival in enumerate(arrivals):
         start_until(arrival.at_s)
-        if len(end_times) < slots:
+        if len(ends) < slots:
             waits.append(Wait(arrival, 0.0))
-            heapq.heappush(end_times, arrival.at_s + arrival.run_s)
+            heapq.heappush(ends, arrival.at_s + arrival.run_s)
         else:
-            heapq.heappush(queue, (sort_key(arrival), index, arrival))
+            heapq.heappush(queue, (key(arrival), index, arrival))
     start_until(float("inf"))
     return waits
 
@@ -91,13 +91,13 @@
     user: workload.User,
     arrivals: Sequence[workload.Arrival],
     deadline_s: float,
-    sort_key: SortKey,
+    key: Key,
 ) -> list[Wait]:
     """Simulate every service with one queue for all of its slots."""
     waits: list[Wait] = []
     for service in user.services:
         service_arrivals = [a for a in arrivals if a.service == service]
-        waits.extend(simulate(service_arrivals, user.slots, deadline_s, sort_key))
+        waits.extend(simulate(service_arrivals, user.slots, deadline_s, key))
     return waits
 
 
