--- a/clementinespar/jobs/node.py
+++ b/clementinespar/jobs/node.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PlatformParts:
+class PlatformServices:
     """Services of the platform that a node uses."""
 
     store: services.JobStore
@@ -41,18 +41,18 @@
     ownership_manager: ownership.OwnershipManager
     metrics: telemetry.JobMetrics
     is_stopping: bool
-    _parts: PlatformParts
+    _platform_services: PlatformServices
 
     def __init__(
         self,
         settings: options.JobNodeSettings,
-        parts: PlatformParts,
-        caller: http_calls.HttpClient,
+        platform_services: PlatformServices,
+        http_client: http_calls.HttpClient,
         log_event: services.EventLog,
     ) -> None:
         self.metrics = telemetry.JobMetrics()
         self.is_stopping = False
-        self._parts = parts
+        self._platform_services = platform_services
         owner_settings = pool_owner.OwnerSettings(settings.jobs.lease_max_ms / 1000)
 
         def make_owner(partition: int, epoch: int) -> pool_owner.PoolOwner:
@@ -62,10 +62,10 @@
                 lambda pool: ownership.partition_of(pool) == partition,
                 self.ownership_manager.confirmed_at,
                 lambda owner: None,
-                parts.store,
-                parts.directory,
-                parts.workers,
-                parts.adviser,
+                platform_services.store,
+                platform_services.directory,
+                platform_services.workers,
+                platform_services.adviser,
                 owner_settings,
                 log_event,
                 self.metrics,
@@ -79,10 +79,10 @@
                     epoch,
                     self.ownership_manager,
                     self.jobs,
-                    parts.store,
-                    parts.hosts,
-                    parts.waves,
-                    parts.configuration,
+                    platform_services.store,
+                    platform_services.hosts,
+                    platform_services.waves,
+                    platform_services.configuration,
                     settings.hosts.holder_lease_ms / 1000,
                     settings.hosts.upkeep_s,
                     log_event,
@@ -90,7 +90,7 @@
             )
 
         self.ownership_manager = ownership.OwnershipManager(
-            parts.group,
+            platform_services.group,
             make_owner,
             own_fleet,
             self.wanted_partitions,
@@ -98,7 +98,10 @@
             log_event,
         )
         self.jobs = service.JobService(
-            self.ownership_manager, parts.configuration, parts.store, caller
+            self.ownership_manager,
+            platform_services.configuration,
+            platform_services.store,
+            http_client,
         )
 
     @property
@@ -108,14 +111,14 @@
         now = asyncio.get_running_loop().time()
         return (
             not self.is_stopping
-            and self._parts.configuration.current is not None
+            and self._platform_services.configuration.current is not None
             and reached is not None
             and now - reached < STORE_ANSWER_MAX_AGE_S
         )
 
     def wanted_partitions(self) -> frozenset[int]:
         """Return the partitions to which pools of the configuration belong."""
-        configuration = self._parts.configuration.current
+        configuration = self._platform_services.configuration.current
         if configuration is None:
             return frozenset()
         return frozenset(
--- a/clementinespar/jobs/service.py
+++ b/clementinespar/jobs/service.py
@@ -30,7 +30,7 @@
     ownership_manager: ownership.OwnershipManager
     configuration: services.ConfigurationSource
     _store: services.JobStore
-    _caller: http_calls.HttpClient
+    _http_client: http_calls.HttpClient
     _waiting_by_queue: dict[str, tuple[float, int]]
     _sent_at: dict[str, float]  # job id: event-loop time of its pending append
     _unanswered_since: float  # event-loop time of the first append without an answer
@@ -41,12 +41,12 @@
         ownership_manager: ownership.OwnershipManager,
         configuration: services.ConfigurationSource,
         store: services.JobStore,
-        caller: http_calls.HttpClient,
+        http_client: http_calls.HttpClient,
     ) -> None:
         self.ownership_manager = ownership_manager
         self.configuration = configuration
         self._store = store
-        self._caller = caller
+        self._http_client = http_client
         self._waiting_by_queue = {}
         self._sent_at = {}
         self._unanswered_since = -math.inf
@@ -238,7 +238,7 @@
                 codes.ResultCode.JOB_OWNER_UNKNOWN, "the partition has no owner"
             )
         address = member.partition("/")[0]
-        response = await self._caller.call(
+        response = await self._http_client.call(
             address, "GET", f"/{partition}{path}", timeout_s=PEER_TIMEOUT_S
         )
         if response.status != 200:
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -35,7 +35,7 @@
         self._platform = platform
         self._nodes = nodes
         self._rng = rng
-        self._caller = http_calls.HttpClient()
+        self._http_client = http_calls.HttpClient()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, seconds: float) -> None:
@@ -67,7 +67,7 @@
         self, node: fleet.Node, method: str, path: str, body: bytes
     ) -> tuple[int, dict[str, object]]:
         try:
-            response = await self._caller.call(
+            response = await self._http_client.call(
                 node.callers, method, path, body, timeout_s=CALL_TIMEOUT_S
             )
         except errors.ClementinesparError:
