--- a/clementinespar/jobs/advice.py
+++ b/clementinespar/jobs/advice.py
@@ -6,7 +6,8 @@
 from clementinespar.jobs import model, services, state
 
 MAX_WORKERS_PER_REQUEST = 100
-VALIDITY_SHARE = 0.8  # of a ticket's time in which it is used; a start takes the rest
+# Share of a ticket's validity in which runs are started with it; the start takes time.
+VALIDITY_SHARE = 0.8
 RETRY_S = 0.25
 NO_WORKER_RETRY_S = 1.0  # after a request for which no worker got a ticket
 
@@ -14,7 +15,7 @@
 class TicketCache:
     """Tickets of one owner; requests them one at a time.
 
-    The adviser serves one request for each machine at a time. A request is sent when
+    The adviser serves one request from each machine at a time. A request is sent when
     the owner would place a step; `find_valid` returns nothing until it is answered.
     """
 
--- a/clementinespar/jobs/capacity.py
+++ b/clementinespar/jobs/capacity.py
@@ -92,8 +92,8 @@
 def update_resting(peaks: dict[str, PeakState]) -> None:
     """Update which pools are resting and may lend hosts of their home size.
 
-    A pool rests after its peak. Once every pool has had its peak, the one whose peak
-    ended first is expected to peak next, and gets its home size back.
+    A pool rests after its peak. Once every pool is at its peak or has had it, the one
+    whose peak ended first is expected to peak next, and gets its home size back.
     """
     for peak in peaks.values():
         peak.is_resting = not peak.is_peaking and peak.peak_ended_at is not None
--- a/clementinespar/jobs/fenced_log.py
+++ b/clementinespar/jobs/fenced_log.py
@@ -17,9 +17,8 @@
     """
 
     _sequence: int  # of the next append
-    _append_lock: (
-        asyncio.Lock
-    )  # the store refuses an append whose predecessor is missing
+    # Keeps the order: the store refuses an append whose predecessor is missing.
+    _append_lock: asyncio.Lock
 
     def __init__(
         self,
--- a/clementinespar/jobs/fleet.py
+++ b/clementinespar/jobs/fleet.py
@@ -42,7 +42,7 @@
     """Progress of one wave; all times are event-loop times."""
 
     wave: model.MaintenanceWave
-    asked_at: float  # when this owner first saw the wave
+    first_seen_at: float  # when this owner first saw the wave
     # Ids of hosts whose maintenance has begun.
     begun: set[str] = dataclasses.field(default_factory=set)
     # By host id.
@@ -322,12 +322,12 @@
         if not progress.is_reported:
             await self._wave_source.report(wave, is_done=False)
             progress.is_reported = True
-        missing = [
+        pending = [
             hosts_by_id[host_id]
             for host_id in wave.host_ids
             if host_id in hosts_by_id and host_id not in progress.begun
         ]
-        if not missing:
+        if not pending:
             await self._wave_source.report(wave, is_done=True)
             progress.is_done = True
             self._log_event("wave_done", wave=wave.number, begun=len(progress.begun))
@@ -337,8 +337,8 @@
             for host_id in wave.host_ids
             if self._is_down(progress, hosts_by_id.get(host_id), loop.time())
         }
-        self._choose_evacuations(progress, missing, down, hosts_by_id)
-        for host in missing:
+        self._choose_evacuations(progress, pending, down, hosts_by_id)
+        for host in pending:
             since = progress.evacuating_since.get(host.host_id)
             if since is None or host.state != "up":
                 continue
@@ -368,7 +368,7 @@
     def _choose_evacuations(
         self,
         progress: _WaveProgress,
-        missing: list[model.HostEntry],
+        pending: list[model.HostEntry],
         down: set[str],
         hosts_by_id: dict[str, model.HostEntry],
     ) -> None:
@@ -385,15 +385,15 @@
             if host.state != "up" or host.host_id in down or is_leaving:
                 out_by_pool[host.pool] = out_by_pool.get(host.pool, 0) + 1
         leaving = sum(
-            1 for host in missing if host.host_id in progress.evacuating_since
+            1 for host in pending if host.host_id in progress.evacuating_since
         )
-        left_s = progress.asked_at + progress.wave.deadline_s - loop.time()
+        left_s = progress.first_seen_at + progress.wave.deadline_s - loop.time()
         share = (
             MAX_LEAVING_SHARE
             if left_s > progress.wave.deadline_s / 3
             else MAX_LEAVING_SHARE * 2
         )
-        for host in missing:
+        for host in pending:
             if host.host_id in progress.evacuating_since or host.state != "up":
                 continue
             if leaving >= progress.wave.max_down:
--- a/clementinespar/jobs/ownership.py
+++ b/clementinespar/jobs/ownership.py
@@ -22,8 +22,8 @@
 MIN_LARGER_NODES = 3
 LARGER_NODE_FACTOR = 1.5  # a larger node has more than this many times the cores
 STANDBY_INTERVAL_S = 1.0
-# Between checks of the sizes of other nodes, once this node has run for as long and no
-# larger node owns a partition; `STANDBY_INTERVAL_S` otherwise.
+# Time between checks of the sizes of other nodes while no larger node owns a partition.
+# Otherwise, and for this long after the start, it is `STANDBY_INTERVAL_S`.
 SIZE_CHECK_INTERVAL_S = 5.0
 
 
--- a/clementinespar/jobs/pool_owner.py
+++ b/clementinespar/jobs/pool_owner.py
@@ -41,7 +41,7 @@
 # Longest wait of a read for new commands. A connection may stop answering for good, and
 # a job must be known within three seconds.
 COMMAND_WAIT_S = 1.0
-COMMAND_SPACING_S = 0.01  # batches commands, since each read has a price
+COMMAND_SPACING_S = 0.01  # batches commands, since each read has a cost
 # A job is reported as unknown only if the last read of commands is no older than this
 # plus `COMMAND_WAIT_S`.
 STALE_COMMANDS_S = 1.4
@@ -163,7 +163,10 @@
         self._schedule_wanted.set()
 
     def may_lease(self, worker_id: str) -> bool:
-        """Whether the stored record tells the next owner of a lease on the worker."""
+        """Whether the next owner will wait for a lease on the worker to end.
+
+        It will if the stored record lists the worker as in use.
+        """
         return worker_id in self._worker_use.stored
 
     def on_unresponsive(self, session: worker_session.WorkerSession) -> None:
@@ -289,7 +292,7 @@
     def _find_open_task(
         self, key: model.TaskKey
     ) -> tuple[state.JobProgress, state.TaskState] | None:
-        """Return a task and its job, or None if the job is final or has no such key."""
+        """Return a task and its job; None if the job is final or either is unknown."""
         job = self.jobs_by_id.get(key.job_id)
         task = None if job is None or job.is_final else job.find_task(key)
         return None if job is None or task is None else (job, task)
--- a/clementinespar/jobs/services.py
+++ b/clementinespar/jobs/services.py
@@ -86,8 +86,8 @@
     async def join(self, generation: int) -> Assignment:
         """Join or stay in the group.
 
-        `generation` is that of the last assignment which this member has applied, so it
-        has given up the partitions that it lost until then.
+        `generation` is that of the last assignment which this member has applied. It
+        confirms that the member has given up the partitions that it lost until then.
         """
         ...
 
--- a/clementinespar/jobs/state.py
+++ b/clementinespar/jobs/state.py
@@ -10,8 +10,8 @@
 
 from clementinespar.jobs import model
 
-# Up to this many runs of a task under one owner, all runs of the next owner have higher
-# numbers.
+# Run numbers for each epoch. If a task has no more runs than this under one owner, all
+# its runs under the next owner have higher numbers.
 RUNS_PER_EPOCH = 1000
 
 
--- a/clementinespar/jobs/tests/fakes.py
+++ b/clementinespar/jobs/tests/fakes.py
@@ -1,7 +1,7 @@
 """Fakes of the platform services, with the faults that these may have.
 
 They follow the published protocol: fences, leases on the worker's own clock, ends that
-are listed until they are acknowledged, appends that may be done without an answer.
+are listed until they are acknowledged, appends that may take effect without an answer.
 """
 
 import asyncio
@@ -130,9 +130,10 @@
     born_ms: int = 1
     fence: int = 0
     lease_until_ms: float = 0.0
+    # Run and the event-loop time of its end, by task.
     running: dict[model.TaskKey, tuple[int, float]] = dataclasses.field(
         default_factory=dict
-    )  # run and the event-loop time of its end
+    )
     ended: list[model.EndedTask] = dataclasses.field(default_factory=list)
     ended_runs: dict[model.TaskKey, int] = dataclasses.field(default_factory=dict)
     next_number: int = 1
@@ -159,7 +160,7 @@
         self.violations = []
         self.task_s = 0.5
         self.is_loaded = True
-        self.done_acknowledged: set[model.TaskKey] = set()
+        self.acknowledged_done: set[model.TaskKey] = set()
         self.cpu_by_step: dict[tuple[str, int], int] = {}
         self.lasting_jobs: set[str] = set()
         for number in range(count):
@@ -243,7 +244,7 @@
             self.advance(other)
             if task in other.running:
                 self.violations.append(f"{task} runs twice")
-        if task in self.done_acknowledged:
+        if task in self.acknowledged_done:
             self.violations.append(f"{task} starts after its end was acknowledged")
         used = sum(
             self.cpu_by_step.get((key.job_id, key.step), 0)
@@ -283,7 +284,7 @@
             fake.lease_until_ms = max(fake.lease_until_ms, lease_until_ms)
         for end in fake.ended:
             if end.number <= acknowledged and end.kind is model.EndKind.DONE:
-                self.done_acknowledged.add(end.task)
+                self.acknowledged_done.add(end.task)
         if not fake.loses_acknowledgements:
             fake.ended = [end for end in fake.ended if end.number > acknowledged]
         waited = 0
--- a/clementinespar/jobs/worker_session.py
+++ b/clementinespar/jobs/worker_session.py
@@ -18,13 +18,14 @@
 LEASE_MARGIN_S = 0.15  # network and timer delay beyond the end of a lease
 RENEW_WAIT_MS = 800  # a renewal waits at the worker this long for a run to end
 SETTLE_WAIT_MS = 60  # shorter wait while a start or a stop has no answer
-RENEW_SPACING_S = 0.025  # batches ends, since each renewal has a price
+RENEW_SPACING_S = 0.025  # batches ends, since each renewal has a cost
 RETRY_DELAY_S = 0.15
 UNRESPONSIVE_AFTER_S = 1.6  # no new work for a worker without contact for this long
-EJECT_FAILED_JOBS = 2  # failed jobs without a success between eject a worker
+# A worker is ejected after failures of this many jobs without a success in between.
+EJECT_FAILED_JOBS = 2
 EJECT_S = 2.5
-# A worker that has already become responsive again within the window gets no new work
-# for 1, 2, then 4 s; otherwise it would attract work each time it returns, being idle.
+# A worker that becomes responsive again repeatedly within the window gets no new work
+# for 1, 2, then 4 s. Being idle, it would otherwise attract work at each return.
 FLAP_WINDOW_S = 15.0
 FLAP_PAUSE_MAX_S = 4.0
 
@@ -105,7 +106,7 @@
         ...
 
     def may_lease(self, worker_id: str) -> bool:
-        """Whether the stored record tells the next owner of a lease on the worker."""
+        """Whether the next owner will wait for a lease on the worker to end."""
         ...
 
     def on_contact(self, session: "WorkerSession") -> None:
@@ -389,7 +390,9 @@
         for run in list(self.runs.values()):
             if run.status is not RunStatus.STARTING:
                 self.drop_run(run)
-                self._events.on_run_gone(self, run, "lease ended on a silent worker")
+                self._events.on_run_gone(
+                    self, run, "lease ended on an unresponsive worker"
+                )
 
     def _apply(self, report: model.WorkerReport, sent_at: float) -> None:
         self.set_clock(report.clock_ms)
@@ -546,7 +549,8 @@
                 self.entry, run.key, run.number, percent, self.fence
             )
         except errors.ClementinesparError as error:
-            # The pace is unknown now; -1 differs from each that a report can lead to.
+            # The worker's pace is unknown now. -1 is not a valid pace, so that a later
+            # report leads to an order again.
             run.pace = -1
             self._log_event(
                 "pace_unanswered",
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -13,7 +13,7 @@
 from soak import callers, faults, fleet
 
 SETTLE_TIMEOUT_S = 30.0  # for accepted jobs to end after the last fault
-TIMEOUT_MARGIN_S = 75.0  # for a seed to end after its time of faults
+TIMEOUT_MARGIN_S = 75.0  # for a seed to end after its fault injection
 POOLS = {"work": 4}
 REGRESSION_SEEDS = pathlib.Path(__file__).with_name("regression_seeds.txt")
 CONFIGURATION = {
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -16,7 +16,7 @@
 
 
 class Callers:
-    """Submits jobs and keeps the ids of jobs by the answers to them."""
+    """Submits and cancels jobs, and records their ids by the answers that they got."""
 
     accepted: set[str]
     refused: set[str]
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -94,7 +94,7 @@
 async def run_nodes(
     count: int, folder: pathlib.Path, store: str
 ) -> AsyncIterator[list[Node]]:
-    """Run nodes while the context is entered; kill their processes at the end."""
+    """Run nodes inside the context; kill their processes at the end."""
     async with contextlib.AsyncExitStack() as stack:
         nodes = []
         for number in range(count):
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -15,7 +15,7 @@
     PASS = "pass"
     DELAY = "delay"
     RESET = "reset"  # connections are reset at once
-    CUT_BACK = "cut_back"  # requests are forwarded, answers are dropped
+    DROP_ANSWERS = "drop_answers"  # requests are forwarded, answers are dropped
     SILENT = "silent"  # all bytes are dropped, on open connections for good
 
 
@@ -79,7 +79,7 @@
         while data := await reader.read(CHUNK_BYTES):
             if self.mode is Mode.DELAY:
                 await asyncio.sleep(DELAY_S)
-            is_dropped = is_answer and self.mode is Mode.CUT_BACK
+            is_dropped = is_answer and self.mode is Mode.DROP_ANSWERS
             if (
                 is_dropped
                 or self.mode is Mode.SILENT
@@ -93,7 +93,7 @@
 
 @contextlib.asynccontextmanager
 async def open_proxy(target: str) -> AsyncIterator[Proxy]:
-    """Run a proxy to an ``IP:port`` while the context is entered."""
+    """Run a proxy to an ``IP:port`` inside the context."""
     proxy = Proxy(target)
     server = await asyncio.start_server(proxy.handle, "127.0.0.1", 0)
     proxy.port = server.sockets[0].getsockname()[1]
