--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -15,7 +15,7 @@
     PASS = "pass"
     DELAY = "delay"
     RESET = "reset"  # connections are reset at once
-    DROP_ANSWERS = "drop_answers"  # requests are forwarded, answers are dropped
+    CUT_BACK = "cut_back"  # requests are forwarded, answers are dropped
     SILENT = "silent"  # all bytes are dropped, on open connections for good
 
 
@@ -79,7 +79,7 @@
         while data := await reader.read(CHUNK_BYTES):
             if self.mode is Mode.DELAY:
                 await asyncio.sleep(DELAY_S)
-            is_dropped = is_answer and self.mode is Mode.DROP_ANSWERS
+            is_dropped = is_answer and self.mode is Mode.CUT_BACK
             if (
                 is_dropped
                 or self.mode is Mode.SILENT
