--- a/clementinespar/jobs/worker_session.py
+++ b/clementinespar/jobs/worker_session.py
@@ -390,9 +390,7 @@
         for run in list(self.runs.values()):
             if run.status is not RunStatus.STARTING:
                 self.drop_run(run)
-                self._events.on_run_gone(
-                    self, run, "lease ended on an unresponsive worker"
-                )
+                self._events.on_run_gone(self, run, "lease ended on a silent worker")
 
     def _apply(self, report: model.WorkerReport, sent_at: float) -> None:
         self.set_clock(report.clock_ms)
