--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -93,7 +93,7 @@
 
 @contextlib.asynccontextmanager
 async def open_proxy(target: str) -> AsyncIterator[Proxy]:
-    """Run a proxy to an ``IP:port`` while the context is entered."""
+    """Run a proxy to an ``IP:port`` inside the context."""
     proxy = Proxy(target)
     server = await asyncio.start_server(proxy.handle, "127.0.0.1", 0)
     proxy.port = server.sockets[0].getsockname()[1]
