--- a/clementinespar/capacity/planner.py
+++ b/clementinespar/capacity/planner.py
@@ -278,7 +278,7 @@
         for donor in self._donor_pools(need.pool):
             is_spare = self.situation.document.pools[donor].spare
             if is_spare and (donor, need.pool) in self._leaving_pairs:
-                # Wait for the next spare host; do not take one from a serving pool.
+                # The next spare host can follow soon, so no serving pool loses one.
                 return
             for host in self._candidates(donor, need.pool):
                 if self._try_move(host, need.pool, because):
@@ -319,15 +319,15 @@
 
     def _candidates(self, donor: str, borrower: str) -> list[pools_state.HostState]:
         """Order a donor's hosts so that the borrower's failure domains stay even."""
-        by_domain: collections.Counter[tuple[str, ...]] = collections.Counter()
+        count_by_domain: collections.Counter[tuple[str, ...]] = collections.Counter()
         for host in self.situation.pools.members_after_moves(borrower):
-            by_domain[(host.data_centre,)] += 1
-            by_domain[(host.data_centre, host.rack)] += 1
+            count_by_domain[(host.data_centre,)] += 1
+            count_by_domain[(host.data_centre, host.rack)] += 1
         return sorted(
             self.situation.pools.hosts_of(donor),
             key=lambda host: (
-                by_domain[(host.data_centre,)],
-                by_domain[(host.data_centre, host.rack)],
+                count_by_domain[(host.data_centre,)],
+                count_by_domain[(host.data_centre, host.rack)],
                 host.host_id,
             ),
         )
@@ -347,8 +347,8 @@
     ) -> bool:
         """Decide on a move if the budget and the limits on concurrent moves allow it.
 
-        One host at a time moves between two pools, and a pool gives one host a round,
-        so that a wrong estimate costs only one move.
+        At most one host at a time moves between two pools, and at most one host leaves
+        a pool per round, so that a wrong estimate costs only one move.
         """
         unavailable = self.situation.observation.unavailable_by_host_id
         document = self.situation.document
@@ -404,7 +404,7 @@
                     f"{lasted_s:.0f} s so far"
                 )
             else:
-                waits_for = "hosts to arrive or a pool to have room"
+                waits_for = "hosts to arrive or a pool to have a surplus"
         elif need.needed is None:
             pool_state = "unknown"
             waits_for = "an observation of the demand"
--- a/clementinespar/documents/model.py
+++ b/clementinespar/documents/model.py
@@ -48,9 +48,8 @@
 class Budget:
     """Availability budget of a pool, in hosts."""
 
-    min_available: Annotated[
-        int, pydantic.Field(ge=0)
-    ]  # hosts that must stay in service
+    # Hosts that must stay in service.
+    min_available: Annotated[int, pydantic.Field(ge=0)]
     max_out_per_rack: int = pydantic.Field(default=1, ge=1)
     max_out_per_data_centre: int = pydantic.Field(default=2, ge=1)
 
@@ -64,7 +63,8 @@
     spare: bool = False  # hosts of the spare pool are lent first
     # Fraction of each target's slots that services borrowing from this pool may use.
     lend_share: float = pydantic.Field(default=0.75, ge=0.0, le=1.0)
-    min_hosts: int = pydantic.Field(default=1, ge=0)  # lower bound of capacity
+    # Moves leave at least this many hosts in the pool.
+    min_hosts: int = pydantic.Field(default=1, ge=0)
     max_hosts: int = pydantic.Field(default=10_000, ge=1)
 
 
@@ -87,9 +87,8 @@
     default_deadline_ms: int = pydantic.Field(default=10_000, ge=1, le=_MAX_DEADLINE_MS)
     max_deadline_ms: int = pydantic.Field(default=60_000, ge=1, le=_MAX_DEADLINE_MS)
     max_queue: int = pydantic.Field(default=2_000, ge=0, le=100_000)
-    short_run_ms: int = pydantic.Field(
-        default=250, ge=1, le=_MAX_DEADLINE_MS
-    )  # requests that run longer count as long
+    # Requests that run longer count as long.
+    short_run_ms: int = pydantic.Field(default=250, ge=1, le=_MAX_DEADLINE_MS)
     short_reserve: float = pydantic.Field(default=0.5, ge=0.0, lt=1.0)
     kinds: dict[str, Kind] = dataclasses.field(default_factory=dict)
 
@@ -114,7 +113,7 @@
 
 @pydantic.dataclasses.dataclass(frozen=True, slots=True, config=_CONFIG)
 class Weights:
-    """How much the user's measures count in capacity decisions."""
+    """How much the user's measures count in decisions on capacity and on waves."""
 
     short_wait: Weight = 1.0
     buffer_cost: Weight = 1.0
--- a/clementinespar/fleet/snapshot.py
+++ b/clementinespar/fleet/snapshot.py
@@ -210,7 +210,7 @@
 
 
 class SnapshotPublisher:
-    """Publishes the state to the log before the records behind it expire.
+    """Publishes the state to the log before the records that it replaces expire.
 
     Parameters
     ----------
--- a/clementinespar/fleet/state.py
+++ b/clementinespar/fleet/state.py
@@ -1,7 +1,7 @@
 """The folded state of the fleet.
 
 `apply_entry` is a deterministic function of the state and the entry: it reads no clock,
-no settings and nothing of the network. All nodes that apply the same entries have the
+no settings and nothing from the network. All nodes that apply the same entries have the
 same state and the same result code for every record.
 
 The state has one part per module, such as documents or pools; the fold is the repeated
--- a/clementinespar/fleet/tests/test_fold_machine.py
+++ b/clementinespar/fleet/tests/test_fold_machine.py
@@ -248,7 +248,8 @@
                     claim.request_id
                 )
                 if stored_claim is not None and stored_claim.claim_id == claim.claim_id:
-                    # Until it is released, a winner may have run its request.
+                    # A winner that is not released may have run its request, so no
+                    # other claim may win, even after the claim has expired.
                     winner = self.winner_by_request_id.setdefault(
                         claim.request_id, claim.claim_id
                     )
--- a/clementinespar/fleet/tests/test_snapshot.py
+++ b/clementinespar/fleet/tests/test_snapshot.py
@@ -39,7 +39,7 @@
 def test_state_round_trips_through_parts(
     count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against items that are lost or duplicated at the boundaries of parts.
+    """Guards against items that are lost or duplicated at the boundaries of parts."""
     monkeypatch.setattr(snapshot, "_ITEMS_PER_PART", 3)
     fleet = make_state(count)
     data = snapshot.encode_state(fleet)
@@ -50,7 +50,7 @@
 def test_encoding_in_parts_returns_the_state_at_its_start(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a snapshot that mixes the states of two offsets.
+    """Guards against a snapshot that mixes the states of two offsets."""
     monkeypatch.setattr(snapshot, "_ITEMS_PER_PART", 3)
 
     async def main() -> None:
@@ -74,7 +74,7 @@
 def test_only_complete_and_valid_snapshots_are_rebuilt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a node that starts from a state that differs from the fold.
+    """Guards against a node that starts from a state that differs from the fold."""
     monkeypatch.setattr(snapshot, "_CHUNK_BYTES", 300)
     chunks, others = make_chunks_of_state(20), make_chunks_of_state(20)
     assert len(chunks) > 3
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("cut", [0, 1, 50, -1])
 def test_damaged_data_is_refused(cut: int) -> None:
-    # Guards against a damaged state from a peer, which comes without a digest.
+    """Guards against a damaged state from a peer, which comes without a digest."""
     data = snapshot.encode_state(make_state(3))
     with pytest.raises(snapshot.SnapshotError):
         snapshot.decode_state(data[:cut])
@@ -111,15 +111,18 @@
 def test_data_that_expands_without_bound_is_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a small snapshot that exhausts the memory of a node.
+    """Guards against a small snapshot that exhausts the memory of a node."""
     monkeypatch.setattr(snapshot, "MAX_STATE_BYTES", 500)
     with pytest.raises(snapshot.SnapshotError):
         snapshot.decode_state(snapshot.encode_state(make_state(50)))
 
 
-def test_publisher_keeps_a_continuable_snapshot_in_a_short_log() -> None:
-    # Guards against records that expire before a snapshot covers them, and against
-    # several nodes that publish the same snapshot.
+def test_publisher_keeps_a_usable_snapshot_in_a_short_log() -> None:
+    """Guards against records that expire before a snapshot covers them.
+
+    Also guards against several nodes that publish the same snapshot.
+    """
+
     async def main() -> None:
         log = fake_log.FakeLog(retention_entries=100)
         async with (
@@ -154,7 +157,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_publisher_continues_after_an_outage(node: Node) -> None:
-    # Guards against a publisher that stops at its first failure.
+    """Guards against a publisher that stops at its first failure."""
     log = node.log
     await node.appender.append(node.duty_record("waves"), 5.0)
     publisher = snapshot.SnapshotPublisher(node.follower, node.appender, 300.0, 30)
--- a/clementinespar/fleet/tests/test_state.py
+++ b/clementinespar/fleet/tests/test_state.py
@@ -56,7 +56,7 @@
 def test_no_record_applies_twice_at_any_age(
     issued_ms: int, first_code: codes.ResultCode
 ) -> None:
-    # Guards against a late retry that applies again once the record's id is not kept.
+    """Guards against a late retry that applies again after its record id expired."""
     for retry_ms in (0, 119_999, 120_001, 179_999, 180_000, 180_001, 240_000, 600_000):
         fleet = state.FleetState()
         record = duty_claim(issued_ms)
@@ -72,7 +72,7 @@
 
 
 def test_log_time_seen_by_records_never_decreases() -> None:
-    # Guards against a second lease or claim that is granted as log time decreases.
+    """Guards against a second lease or claim because the log's time decreased."""
     fleet = state.FleetState()
     fold(fleet, 0, duty_claim(0, record_id="first"))
     fold(fleet, 5_000, duty_claim(5_000, "node-b", "second"))
@@ -89,7 +89,7 @@
 def test_lease_ends_when_log_time_reaches_its_end(
     at_ms: int, code: codes.ResultCode
 ) -> None:
-    # Guards against a lease that ends a millisecond later than its holder computes.
+    """Guards against a lease that ends a millisecond later than its holder computes."""
     fleet = state.FleetState()
     fold(fleet, 0, duty_claim(0, record_id="first"))
     assert fold(fleet, at_ms, duty_claim(at_ms, "node-b", "second")) == code
@@ -100,7 +100,7 @@
 def test_request_is_claimed_once_across_expiry(
     retry_ms: int, request_issued_ms: int
 ) -> None:
-    # Guards against a repeated request that is claimed again after its claim expired.
+    """Guards against a request that is claimed again after its claim has expired."""
     fleet = state.FleetState()
     fold(fleet, 0, request_claim(request_issued_ms, "first", 0))
     request_id = f"{_START_MS + request_issued_ms}-request"
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("request_issued_ms", [-600_001, 60_001])
 def test_request_ids_out_of_range_cannot_be_claimed(request_issued_ms: int) -> None:
-    # Guards against claims on ids that could be claimed again after they expire.
+    """Guards against claims on ids that could be claimed again after they expire."""
     fleet = state.FleetState()
     fold(fleet, 0, request_claim(request_issued_ms, "first", 0))
     assert not fleet.claims.claims_by_request_id
@@ -123,7 +123,7 @@
 def test_error_in_one_record_does_not_stop_the_fold(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against an entry at which the fold of every node stops permanently.
+    """Guards against an entry at which the fold of every node stops permanently."""
     fleet = state.FleetState()
     with monkeypatch.context() as patch:
         patch.setattr(
@@ -148,5 +148,5 @@
     ],
 )
 def test_issue_time_in_identifiers(identifier: str, issued_ms: int | None) -> None:
-    # Guards against a caller's id that raises an exception instead of being refused.
+    """Guards against a caller's id that raises an error instead of being refused."""
     assert identifiers.parse_issued_ms(identifier) == issued_ms
--- a/clementinespar/log/appender.py
+++ b/clementinespar/log/appender.py
@@ -81,7 +81,8 @@
     _result_tasks: "set[asyncio.Task[None]]"  # wait until appended records are folded
     _is_clock_refused: bool  # the latest record was refused for its issue time
     _backoff_s: float  # extra delay after refusals
-    _random: random.Random  # seeded by the author, so that tests are reproducible
+    # Seeded by the author: differs between nodes, and tests are reproducible.
+    _random: random.Random
 
     def __init__(
         self,
--- a/clementinespar/log/follower.py
+++ b/clementinespar/log/follower.py
@@ -254,7 +254,7 @@
         return page
 
     async def _load_from_log(self, first_offset: int, end_offset: int) -> bool:
-        """Load the newest complete snapshot that the kept entries of the log continue.
+        """Load the newest complete snapshot after which the log keeps every entry.
 
         Reads backwards, because the newest snapshot is close to the end of the log.
         """
--- a/clementinespar/log/tests/test_appender.py
+++ b/clementinespar/log/tests/test_appender.py
@@ -38,7 +38,7 @@
 async def test_record_applies_once(
     node: Node, faults: fake_log.Faults, entries: int
 ) -> None:
-    # Guards against a record that applies twice, or never, after a lost reply.
+    """Guards against a record that applies twice, or never, after a lost reply."""
     log = node.log
     applied: list[codes.ResultCode] = []
     count_applied(node, applied)
@@ -52,8 +52,12 @@
 
 
 def test_lost_reply_is_read_back_before_the_record_is_sent_again() -> None:
-    # Guards against a second append of a record that is in the log. The follower's task
-    # does not run, so that only the appender's own read can find the record.
+    """Guards against a second append of a record that is in the log.
+
+    The follower's task does not run, so that only the appender's own read can find the
+    record.
+    """
+
     async def main() -> None:
         log = fake_log.FakeLog()
         follower = log_follower.Follower(log, None, 1.0)
@@ -88,7 +92,7 @@
 async def test_failure_says_whether_the_record_may_apply(
     node: Node, faults: fake_log.Faults, expected: type[errors.ClementinesparError]
 ) -> None:
-    # Guards against a record that is reported as not applied but applies later.
+    """Guards against a record that is reported as not applied but applies later."""
     log = node.log
     node.access.faults = faults
     with pytest.raises(expected):
@@ -103,8 +107,10 @@
 async def test_refusal_after_a_lost_reply_leaves_the_outcome_unknown(
     node: Node,
 ) -> None:
-    # Guards against reporting a record as not appended because its second append was
-    # refused, although the first may have taken effect.
+    """Guards against a record that is reported as not appended but may take effect.
+
+    Its second append is refused, but the first may still take effect.
+    """
     node.access.faults = fake_log.Faults(lose_replies=1, late_ms=8_000.0)
     append = asyncio.create_task(node.appender.append(node.duty_record("waves"), 5.0))
     await asyncio.sleep(0.01)
@@ -115,7 +121,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_append_survives_a_short_outage(node: Node) -> None:
-    # Guards against failing before the deadline while another attempt is possible.
+    """Guards against failing before the deadline while another attempt is possible."""
     log = node.log
     log.faults.down = True
     append = asyncio.create_task(node.appender.append(node.duty_record("waves"), 10.0))
@@ -126,7 +132,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_concurrent_records_share_appends(node: Node) -> None:
-    # Guards against one append per record, which the log's rate limit refuses.
+    """Guards against one append per record, which the log's rate limit refuses."""
     log = node.log
     log.max_appends_per_s = 3
     results = await asyncio.gather(
@@ -142,7 +148,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_unresponsive_call_does_not_delay_other_records(node: Node) -> None:
-    # Guards against an unresponsive connection that blocks every claim of the node.
+    """Guards against an unresponsive connection that blocks every claim of the node."""
     await node.appender.append(node.duty_record("first"), 1.0)
     node.access.faults.silent = True
     stuck = asyncio.create_task(node.appender.append(node.duty_record("stuck"), 60.0))
@@ -156,7 +162,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_record_past_the_dedup_window_is_not_sent_again(node: Node) -> None:
-    # Guards against a retry of a record whose id the fold may no longer keep.
+    """Guards against a retry of a record whose id the fold may no longer keep."""
     log = node.log
     await node.appender.append(node.duty_record("waves"), 5.0)
     issued_ms = node.appender.now_ms() - fleet_state.DEDUP_WINDOW_MS - 1
@@ -185,7 +191,7 @@
 async def test_node_with_a_wrong_clock(
     node_a: Node, node_b: Node, skew_ms: int, code: codes.ResultCode
 ) -> None:
-    # Guards against a node whose records are all refused because its clock is behind.
+    """Guards against refusing all records of a node because its clock is behind."""
     log = node_a.log
     await node_a.appender.append(node_a.duty_record("first"), 5.0)
     node_b.appender._wall_ms = lambda: log.now_ms() + skew_ms
--- a/clementinespar/log/tests/test_follower.py
+++ b/clementinespar/log/tests/test_follower.py
@@ -35,7 +35,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_listeners_and_waiters_see_entries_in_order(node: Node) -> None:
-    # Guards against waiters that are never woken and listeners that miss entries.
+    """Guards against waiters that are never woken and listeners that miss entries."""
     log = node.log
     seen: list[tuple[int, codes.ResultCode]] = []
     node.follower.add_listener(lambda e, code: seen.append((e.offset, code)))
@@ -69,9 +69,11 @@
     poll_wait_s: float,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a node that keeps an old document while its peers have a newer
-    # one. A limit of 1500 bytes keeps fewer entries than are missing, so that the node
-    # needs the peer's snapshot.
+    """Guards against a node that keeps an old document while a peer has a newer one.
+
+    A limit of 1500 bytes keeps fewer entries than are missing, so that the node needs
+    the peer's snapshot.
+    """
     monkeypatch.setattr(log_follower, "_MAX_RECENT_BYTES", max_recent_bytes)
 
     async def main() -> None:
@@ -101,7 +103,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_node_is_ready_only_after_an_answer(node_a: Node) -> None:
-    # Guards against a node that serves from an empty state while others have records.
+    """Guards against a node that serves an empty state while others have records."""
     log = node_a.log
     relay = log_nodes.NodeRelay()
     await append_duties(node_a, 300)
@@ -132,7 +134,7 @@
 async def test_ready_after_part_of_the_log_and_a_peer_at_the_same_offset(
     node_a: Node, faults: fake_log.Faults
 ) -> None:
-    # Guards against a node that is never ready because no peer is ahead of it.
+    """Guards against a node that is never ready because no peer is ahead of it."""
     log = node_a.log
     relay = log_nodes.NodeRelay()
     await append_duties(node_a, 3)
@@ -152,8 +154,10 @@
 async def test_start_from_the_newest_valid_snapshot(
     node_a: Node, damage: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a node that cannot start once the first entries have expired, or
-    # that starts from a damaged or incomplete snapshot.
+    """Guards against a node that cannot start once the first entries have expired.
+
+    Also guards against a start from a damaged or incomplete snapshot.
+    """
     log = node_a.log
     monkeypatch.setattr(fleet_snapshot, "_CHUNK_BYTES", 400)
 
@@ -200,7 +204,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_start_without_any_snapshot_waits_for_a_peer(node_a: Node) -> None:
-    # Guards against a state that lacks the effects of expired records.
+    """Guards against a state that lacks the effects of expired records."""
     log = node_a.log
     relay = log_nodes.NodeRelay()
     await append_duties(node_a, 30)
@@ -216,7 +220,8 @@
 
 
 def test_state_is_replaced_only_by_a_higher_offset() -> None:
-    # Guards against a document that reverts because a peer sends an old state.
+    """Guards against a document that reverts because a peer sends an old state."""
+
     class OldRelay(log_nodes.NodeRelay):
         old: tuple[int, bytes] | None = None
 
@@ -243,7 +248,8 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_entries_after_a_gap_are_not_applied(node_a: Node) -> None:
-    # Guards against a state that lacks an entry that a peer did not send.
+    """Guards against a state that lacks an entry that a peer did not send."""
+
     class GapRelay(log_nodes.NodeRelay):
         async def fetch_entries(
             self, from_offset: int, limit: int
@@ -265,7 +271,7 @@
 async def test_start_with_a_long_log_loads_a_snapshot(
     node_a: Node, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a replay of a long log although the log has a snapshot.
+    """Guards against a replay of a long log although the log has a snapshot."""
     log = node_a.log
     monkeypatch.setattr(log_follower, "_MAX_REPLAY_ENTRIES", 20)
 
@@ -281,7 +287,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_refresh_covers_appends_that_were_complete_before(node: Node) -> None:
-    # Guards against a read-back that misses a record, which is then appended again.
+    """Guards against a read-back that misses a record, which is then appended again."""
     log = node.log
     await node.follower.wait_applied(-1)
     payloads = [
@@ -298,7 +304,7 @@
 
 @log_nodes.with_nodes("node-a")
 async def test_refresh_from_an_old_copy_of_the_log_is_refused(node_a: Node) -> None:
-    # Guards against a host action that is checked against an old state.
+    """Guards against a host action that is checked against an old state."""
     relay = log_nodes.NodeRelay(node_a)
     async with log_nodes.running_node(node_a.log, "node-b", relay) as node_b:
         await append_duties(node_a, 3)
@@ -316,7 +322,7 @@
 async def test_recent_entries_are_bounded(
     node: Node, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against memory use that grows with the log.
+    """Guards against memory use that grows with the log."""
     log = node.log
     monkeypatch.setattr(log_follower, "_MAX_RECENT_BYTES", 2_000)
 
--- a/clementinespar/log/tests/test_http.py
+++ b/clementinespar/log/tests/test_http.py
@@ -20,7 +20,7 @@
 
 
 def test_payloads_round_trip_unchanged() -> None:
-    # Guards against an encoding that alters payloads that are not UTF-8 text.
+    """Guards against an encoding that alters payloads that are not UTF-8 text."""
     payloads = [b"{}", "caf\u00e9".encode(), b"\xff\x00\xfe", b""]
 
     async def main() -> None:
@@ -63,7 +63,8 @@
     expected: type[errors.ClementinesparError],
     is_appended: bool,
 ) -> None:
-    # Guards against a lost reply that is reported as a refusal.
+    """Guards against a lost reply that is reported as a refusal."""
+
     async def main() -> None:
         log = fake_log.FakeLog()
         with log_service.serving(log, _ADDRESS, 0) as port:
@@ -83,8 +84,8 @@
 
 @pytest.mark.parametrize("is_backlog_full", [False, True])
 def test_failed_connect_is_reported_as_not_sent(is_backlog_full: bool) -> None:
-    # Guards against a failed connect that is reported as an append that may have
-    # taken effect.
+    """Guards against a failed connect that is reported as a possible append."""
+
     async def main() -> None:
         with socket.socket() as listener:
             listener.bind((_ADDRESS, 0))
@@ -106,8 +107,11 @@
 
 
 def test_http_library_does_not_resend_an_append() -> None:
-    # Guards against libcurl resending a POST when a reused connection closes: if the
-    # second connect is refused, the error says that nothing was sent.
+    """Guards against libcurl resending a POST when a reused connection closes.
+
+    If the second connect is refused, the error says that nothing was sent.
+    """
+
     async def main() -> None:
         received: list[bytes] = []
         handlers: list[asyncio.Task[None]] = []
@@ -147,7 +151,8 @@
 
 
 def test_node_follows_over_http() -> None:
-    # Guards against a wire format that the client and the stand-in parse differently.
+    """Guards against a client and a stand-in that parse the wire format differently."""
+
     async def main() -> None:
         log = fake_log.FakeLog()
         with log_service.serving(log, _ADDRESS, 0) as port:
@@ -171,7 +176,7 @@
 
 
 def test_program_prints_its_port_and_accepts_fault_switches() -> None:
-    # Guards against a stand-in that the demo and bench cannot start or control.
+    """Guards against a stand-in that the demo and bench cannot start or control."""
     with subprocess.Popen(
         [sys.executable, "-m", "standins.log_service", "--retention-entries", "2"],
         stdout=subprocess.PIPE,
--- a/clementinespar/log/tests/test_random_faults.py
+++ b/clementinespar/log/tests/test_random_faults.py
@@ -65,7 +65,7 @@
 
 
 async def append_all(node: log_nodes.LogNode, outcomes: dict[str, str]) -> None:
-    """Append records and record the outcome that the appender reports for each."""
+    """Append records and collect the outcome that the appender reports for each."""
     for number in range(20):
         record = node.duty_record(f"{node.name}-{number}")
         try:
@@ -143,7 +143,7 @@
         for node in nodes:
             node.access.faults = fake_log.Faults()
         await asyncio.sleep(20.0)  # delayed appends take effect and the nodes catch up
-        assert not watch.done(), "two nodes held the duty"
+        assert not watch.done(), "two nodes held the lease of the duty"
         watch.cancel()
         # The holders keep appending, so the nodes are brought to the same offset first.
         for node in nodes:
@@ -169,5 +169,5 @@
 )
 @hypothesis.given(st.lists(steps, max_size=12))
 def test_invariants_hold_under_random_faults(plan: list[Step]) -> None:
-    # Guards against faults that break an invariant only in combination.
+    """Guards against faults that break an invariant only in combination."""
     paused_clock.run(run_nodes(plan))
--- a/clementinespar/pools/availability.py
+++ b/clementinespar/pools/availability.py
@@ -56,7 +56,8 @@
 
     The platform may serve a list that it made long ago, so the time since it was read
     is not enough. The newest record of the log was appended before now, so the list is
-    at least as old as the difference to that record; both times are the platform's.
+    at least as old as the time from its timestamp to that of the record. Both times are
+    the platform's.
     """
     latest = host_list.latest
     if latest is None:
--- a/clementinespar/pools/budget.py
+++ b/clementinespar/pools/budget.py
@@ -85,7 +85,7 @@
     """Return whether the hosts left in service survive the loss of a failure domain.
 
     A pool may be too small or too unevenly spread to survive a loss while any one host
-    is out. Its hosts still need maintenance, so there one host may be out at a time.
+    is out. Its hosts still need maintenance, so one host may then be out at a time.
     """
     minimum = pool.budget.min_available
     if available_after_loss(available, survive) >= minimum:
@@ -101,10 +101,10 @@
     """Return how many hosts remain after the loss of the largest failure domain."""
     if survive == "none" or not hosts:
         return len(hosts)
-    hosts_by_domain = collections.Counter(
+    count_by_domain = collections.Counter(
         (host.data_centre, host.rack if survive == "rack" else "") for host in hosts
     )
-    return len(hosts) - max(hosts_by_domain.values())
+    return len(hosts) - max(count_by_domain.values())
 
 
 def is_serving(
--- a/clementinespar/pools/operations.py
+++ b/clementinespar/pools/operations.py
@@ -28,7 +28,7 @@
 # that they do not delay claims in the log.
 _MAX_FINDINGS_PER_ROUND = 50
 # Planning costs about 3 us a host, so its interval grows with the fleet: 4.4 s for
-# 1,100 hosts. Fewer than 250 hosts are planned in every round of a second.
+# 1,100 hosts. Fewer than 250 hosts are planned in every round, once a second.
 _PLANNED_HOSTS_PER_S = 250.0
 # Drains and reboots take minutes, so a step is polled after this share of the time
 # that it has taken.
@@ -192,7 +192,7 @@
         if reboot_state in _STARTABLE_STATES:
             host = await self._refreshed_host(host_id, operation_id)
             if budget.is_leaving(host):
-                return "the record of the move"
+                return "the record of the move to be applied"
             await self._platform.reboot(host_id, _operation_of(host), host.pool)
         if reboot_state != "done":
             return "the platform to reboot the host"
@@ -315,7 +315,7 @@
         try:
             await self._append(record)
         except errors.ClementinesparError as error:
-            # The detector reports the host again in a later round.
+            # The detector reports the host again while the finding still applies.
             _LOG.info("record of a failed or recovered host was not applied: {}", error)
 
 
--- a/clementinespar/pools/state.py
+++ b/clementinespar/pools/state.py
@@ -17,7 +17,9 @@
 class HostOut:
     """Why a host is out of service."""
 
-    operation_id: str  # record id of host_taken_out; "@offset" follows after a restart
+    # Record id of host_taken_out, followed by "@" and the offset of a document's record
+    # if that document restarted the operation.
+    operation_id: str
     offset: int  # of the record that began the operation; fencing token of host actions
     reason: messages.OutReason
     author: str  # node that took the host out
--- a/clementinespar/pools/tests/test_operations.py
+++ b/clementinespar/pools/tests/test_operations.py
@@ -202,7 +202,7 @@
 
 
 @pytest.mark.parametrize("paused_step", ["drain", "reboot"])
-@pytest.mark.parametrize("progress", ["carried on", "done", "out again"])
+@pytest.mark.parametrize("progress", ["unfinished", "done", "out again"])
 @paused_clock.test
 async def test_node_paused_during_a_change_of_the_duty_lease(
     paused_step: str, progress: str
@@ -239,7 +239,7 @@
                 await asyncio.sleep(0.1)
         assert next_holder.is_held
         assert not previous.is_held
-        if progress != "carried on":
+        if progress != "unfinished":
             async with asyncio.timeout(120):
                 while not pair.b.state.pools.hosts_by_id[_A[0]].is_available:
                     await asyncio.sleep(0.1)
@@ -256,7 +256,7 @@
             for a in pair.platform.actions
             if a.operation_id == out.operation_id and a not in calls
         ]
-        if progress == "carried on":
+        if progress == "unfinished":
             # The operation still exists, so a call may be sent, but has no new effect.
             assert {action.result for action in later} <= {"repeated"}
         else:
--- a/clementinespar/pools/tests/test_racing_nodes.py
+++ b/clementinespar/pools/tests/test_racing_nodes.py
@@ -1,7 +1,8 @@
 """Tests of nodes that plan concurrently without leases, with faults of all parts.
 
 Three nodes run both planners and advance the operations of the same hosts. After the
-faults end, every host must return to service in its pool of the fold, maintained.
+faults end, every host must have had maintenance and be in service, in the pool that the
+fold shows.
 """
 
 import asyncio
--- a/clementinespar/waves/planner.py
+++ b/clementinespar/waves/planner.py
@@ -252,7 +252,7 @@
     waits_for = "the hosts that are out to return" if out else None
     if stop != codes.ResultCode.OK:
         facts.insert(0, _describe_stop(situation, stop))
-        waits_for = waits_for or "the stop to end"
+        waits_for = waits_for or "maintenance to be allowed again"
         return None, _explain(pool, "stopped", waits_for, stop, *facts)
     failed = [host.host_id for host in hosts if _has_failed_during(host, wave)]
     if failed:
@@ -349,7 +349,9 @@
     facts = [f"{len(due)} hosts are due, {len(ready)} of them in service"]
     if stop != codes.ResultCode.OK:
         facts.insert(0, _describe_stop(situation, stop))
-        return None, _explain(pool, "stopped", "the stop to end", stop, *facts)
+        return None, _explain(
+            pool, "stopped", "maintenance to be allowed again", stop, *facts
+        )
     if not any(_check_host(situation, h) == codes.ResultCode.OK for h in ready):
         facts.insert(0, _describe_budget(situation, pool))
         return None, _explain(
--- a/clementinespar/waves/tests/test_planner.py
+++ b/clementinespar/waves/tests/test_planner.py
@@ -19,8 +19,8 @@
 
 def _fold(document: model.Document | None = None, **changes: Any) -> fleets.Fold:
     fold = fleets.Fold()
-    made = document or fleets.make_document(_POOLS, **changes)
-    assert fold.publish(made) == codes.ResultCode.OK
+    published = document or fleets.make_document(_POOLS, **changes)
+    assert fold.publish(published) == codes.ResultCode.OK
     return fold
 
 
