--- a/bench/capacity/planned.py
+++ b/bench/capacity/planned.py
@@ -16,11 +16,10 @@
 # Three duties, each renewed at half of its lease of ten seconds.
 LEASE_RENEWALS_PER_DAY = 3 * DAY_S / 5
 SNAPSHOTS_PER_DAY = DAY_S / 300
-# Estimates at 1,100 hosts: the rate of non-repeatable requests, each of which needs a
-# claim, and the number of nodes.
+# Rate of non-repeatable requests, each of which needs a claim; estimate at 1,100 hosts.
 ORDERS_PER_S = 50.0
 CLAIM_RETENTION_S = 600.0
-ENTRY_NODES = 18
+ENTRY_NODES = 18  # estimate at 1,100 hosts
 
 # Records are compressed and sent as base64 in the JSON replies of the log stand-in.
 BASE64_EXPANSION = 4 / 3
--- a/bench/policy/hosts.py
+++ b/bench/policy/hosts.py
@@ -31,7 +31,8 @@
     policy: str
     minutes: waiting.Spread
     least_spare: waiting.Spread  # lowest available minus min_available of any pool
-    planned_breaches: waiting.Spread  # seconds below budget without a failed host
+    # Seconds for which a pool without failed hosts was below its budget, summed.
+    planned_breaches: waiting.Spread
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -53,7 +54,7 @@
 async def _run_roll_out(
     user: workload.User, seed: int, *, fails_rack: bool
 ) -> tuple[float, int, float]:
-    """Return minutes, lowest spare hosts, and seconds of planned budget breaches."""
+    """Return minutes, least spare and planned breaches, as in `RollOutRow`."""
     document = _document(user, is_paused=False)
     platform = fake_platform.FakePlatform(
         fleets.seeds_of(document), drain_s=DRAIN_S, reboot_s=REBOOT_S
--- a/bench/policy/waiting.py
+++ b/bench/policy/waiting.py
@@ -167,7 +167,7 @@
     user: str
     failure: str
     policy: str
-    extra_share: Spread  # repeated starts at targets, over the requests
+    extra_share: Spread  # ratio of repeated starts at targets to requests
     refused: Spread
     unknown: Spread
     lost: Spread
--- a/clementinespar/admin/publishing.py
+++ b/clementinespar/admin/publishing.py
@@ -239,7 +239,7 @@
     """Return the publication that replaced a revision.
 
     If the history no longer has it, or the revision was never in force, return the
-    newest accepted publication.
+    newest accepted publication, or None if there is none.
     """
     accepted = [
         publication
@@ -270,7 +270,8 @@
     value = body[key]
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
         raise errors.ClementinesparError(
-            codes.ResultCode.REQUEST_INVALID, f"{key}: expected an integer from 0"
+            codes.ResultCode.REQUEST_INVALID,
+            f"{key}: expected an integer of at least 0",
         )
     return value
 
--- a/clementinespar/admin/views.py
+++ b/clementinespar/admin/views.py
@@ -20,7 +20,7 @@
 
 
 class UnknownSubjectError(errors.ClementinesparError):
-    """The pool or request to explain does not exist."""
+    """The pool does not exist, or this node has not received the request."""
 
 
 class HostExplainer(Protocol):
@@ -61,7 +61,7 @@
 
     @property
     def not_ready_reasons(self) -> list[str]:
-        """Why it does not, empty if it does."""
+        """Why the node does not accept work, empty if it does."""
         ...
 
     def describe(self) -> Json:
@@ -174,7 +174,7 @@
             raise UnknownSubjectError(
                 codes.ResultCode.REQUEST_INVALID,
                 "this node has received no recent request with this id; ask the node "
-                "that its caller asked",
+                "to which its caller sent it",
             )
         return explained
 
--- a/clementinespar/commands/client.py
+++ b/clementinespar/commands/client.py
@@ -168,14 +168,16 @@
         try:
             response = await self._client.fetch(request, raise_error=False)
         except curl_httpclient.CurlError as error:
-            was_sent = error.errno not in _ERRORS_BEFORE_SENDING
-            return NoReply(node, error.message, was_sent)
+            may_have_arrived = error.errno not in _ERRORS_BEFORE_SENDING
+            return NoReply(node, error.message, may_have_arrived)
         try:
             values = json.loads(response.body)
         except ValueError:
             values = None
         if not isinstance(values, dict):
-            return NoReply(node, f"status {response.code} without JSON", True)
+            return NoReply(
+                node, f"HTTP status {response.code} without a JSON object", True
+            )
         return Reply(node, response.code, values)
 
 
--- a/clementinespar/commands/tests/fake_admin.py
+++ b/clementinespar/commands/tests/fake_admin.py
@@ -20,7 +20,7 @@
     """Address of the fake admin port and the calls that it received."""
 
     node: str = ""  # IP:port
-    # Methods and paths.
+    # Method and path of each call.
     calls: list[tuple[str, str]] = dataclasses.field(default_factory=list)
 
 
--- a/clementinespar/commands/tests/test_commands.py
+++ b/clementinespar/commands/tests/test_commands.py
@@ -226,7 +226,7 @@
     ],
 )
 def test_exit_statuses(arguments: tuple[str, ...], status: int) -> None:
-    """Guards against exit statuses by which scripts misjudge a failure."""
+    """Guards against exit statuses that do not tell bad input from no reply."""
     node = _unused_node()
     result = _run(*(node if a == "NODE" else a for a in arguments))
     assert result.exit_code == status, result.output
--- a/clementinespar/node.py
+++ b/clementinespar/node.py
@@ -51,7 +51,7 @@
 DUTY_LEASE_MS = 10_000
 # Entries between snapshots. A start replays at most this many, which takes seconds.
 SNAPSHOT_MAX_ENTRIES = 10_000
-_CLAIM_RELEASE_TIMEOUT_S = 2.0  # at a stop
+_CLAIM_RELEASE_TIMEOUT_S = 2.0  # longest wait for the release of claims at a stop
 _READY_CHECK_INTERVAL_S = 0.05
 
 EXIT_DONE = 0
@@ -59,7 +59,7 @@
 
 
 class _Planner(Protocol):
-    """Plans and acts in rounds."""
+    """Plans and starts host operations in rounds."""
 
     async def run_round(self) -> codes.ResultCode:
         """Run one round."""
@@ -147,7 +147,10 @@
 
     @property
     def can_own(self) -> bool:
-        """Whether this node may own queues: it has the state and a host list."""
+        """Whether this node may own queues.
+
+        It needs the state and a host list, and must not be stopping.
+        """
         return self._knows_targets() and not self.is_stopping
 
     def _queue_group(self, service: str) -> str:
@@ -416,8 +419,8 @@
         limit_s = self.settings.node.stop_limit_s
         _log.notice("stopping; waiting up to {} s for in-flight requests", limit_s)
         self.is_stopping = True
-        # Requests are accepted until the other nodes have been informed, so that none
-        # is refused that could have been answered.
+        # The stop is announced before requests are refused: until the other nodes know
+        # of it, they forward requests to this node, and these can still be answered.
         await self._wait_unless_aborted(self.peers.members.announce())
         self.callers.begin_drain()
         self.dispatcher.begin_drain()
--- a/clementinespar/options.py
+++ b/clementinespar/options.py
@@ -78,7 +78,7 @@
     name: Name  # unique among the user's entry nodes
     data_centre: Name
     region: Name = "default"
-    stop_limit_s: Seconds = 60.0  # longest wait for requests in flight at a stop
+    stop_limit_s: Seconds = 60.0  # longest wait for in-flight requests at a stop
 
 
 @pydantic.dataclasses.dataclass(frozen=True, slots=True, config=_CONFIG)
--- a/clementinespar/telemetry/tests/test_library_level.py
+++ b/clementinespar/telemetry/tests/test_library_level.py
@@ -25,6 +25,7 @@
 
 
 def test_the_level_of_the_root_logger_is_restored() -> None:
+    """Guards against a level that stays set after the context has exited."""
     previous_level = logging.getLogger().level
     with logs.logging_to(options.TelemetrySettings(), "node-a", io.StringIO()):
         pass
--- a/clementinespar/telemetry/tests/test_telemetry.py
+++ b/clementinespar/telemetry/tests/test_telemetry.py
@@ -32,6 +32,7 @@
 
 
 def test_each_record_is_one_json_line_without_secrets() -> None:
+    """Guards against records that span lines, leak secrets or lack fields."""
     warning, library, failure = _logged_lines(
         options.TelemetrySettings(log_level="info")
     )
@@ -45,11 +46,13 @@
 
 
 def test_records_below_the_configured_level_are_not_written() -> None:
+    """Guards against a log level that is not applied to all loggers."""
     lines = _logged_lines(options.TelemetrySettings(log_level="error"))
     assert [line["level"] for line in lines] == ["error", "error"]
 
 
 def test_outcomes_are_counted_in_the_registry() -> None:
+    """Guards against an outcome that is counted twice or under wrong labels."""
     outcome = model.Outcome(model.OutcomeKind.NOT_RUN, codes.ResultCode.QUEUE_FULL)
     metrics.count_outcome("metered", outcome, 0.02)
     samples = [
@@ -72,6 +75,7 @@
 def test_hop_continues_the_trace_of_the_caller(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Guards against a span outside the caller's trace, or without its attributes."""
     exporter = in_memory_span_exporter.InMemorySpanExporter()
     provider = sdk_trace.TracerProvider(shutdown_on_exit=False)
     provider.add_span_processor(export.SimpleSpanProcessor(exporter))
@@ -94,11 +98,13 @@
 
 @pytest.mark.parametrize("text", [None, "", "00-zz", "00-" + "0" * 32 + "-1-01"])
 def test_invalid_trace_context_begins_a_new_trace(text: str | None) -> None:
+    """Guards against an error, or a malformed context sent to the next hop."""
     with traces.hop_span("hop", text) as span:
         assert span.traceparent != text or text is None
 
 
 def test_trace_context_is_unchanged_without_an_exporter() -> None:
+    """Guards against a trace that breaks at a node which exports no spans."""
     with (
         traces.tracing(options.TelemetrySettings(), "n1"),
         traces.hop_span("hop", _PARENT) as span,
@@ -107,6 +113,7 @@
 
 
 def test_log_exporter_writes_spans_as_log_lines() -> None:
+    """Guards against log lines that lack attributes or the duration of a span."""
     stream = io.StringIO()
     provider = sdk_trace.TracerProvider(shutdown_on_exit=False)
     provider.add_span_processor(export.SimpleSpanProcessor(traces.make_log_exporter()))
--- a/clementinespar/tests/fleets.py
+++ b/clementinespar/tests/fleets.py
@@ -24,7 +24,8 @@
 from clementinespar.waves import runner as wave_runner
 from standins import fake_log, fake_platform
 
-# Wall time at the start, long enough after 0 for hosts without maintenance to be late.
+# Wall time at the start. Hosts that were never maintained count from 0, so all of them
+# are overdue.
 EPOCH_MS = 1_700_000_000_000
 
 
--- a/clementinespar/tests/test_node.py
+++ b/clementinespar/tests/test_node.py
@@ -282,7 +282,7 @@
 
 
 def test_conflict_names_the_winner() -> None:
-    """Guards against a conflict that hides its winner, or a wrong revision promoted."""
+    """Guards against a conflict that hides its winner, or promotes a wrong revision."""
 
     async def main() -> None:
         async with node_fleet.Fleet().running() as fleet, fleet.nodes(2) as nodes:
--- a/demo/checks.py
+++ b/demo/checks.py
@@ -76,9 +76,8 @@
 
     runs_by_host: dict[str, dict[str, int]] = dataclasses.field(default_factory=dict)
     over_admitted: int = 0  # requests sent to a full target, at the last read
-    unread_hosts: set[str] = dataclasses.field(
-        default_factory=set
-    )  # hosts whose target could not be read
+    # Hosts whose target could not be read.
+    unread_hosts: set[str] = dataclasses.field(default_factory=set)
 
     async def read(self, deployed: deployment.Deployment) -> None:
         """Read the counts of all running targets."""
--- a/demo/scenario.py
+++ b/demo/scenario.py
@@ -31,9 +31,8 @@
     tallies: list[checks.Tally] = dataclasses.field(default_factory=list)
     pools: dict[str, checks.PoolAvailability] = dataclasses.field(default_factory=dict)
     events: list[str] = dataclasses.field(default_factory=list)
-    violations: list[str] = dataclasses.field(
-        default_factory=list
-    )  # violated guarantees
+    # One line for each violated guarantee.
+    violations: list[str] = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(slots=True)
--- a/standins/fake_platform.py
+++ b/standins/fake_platform.py
@@ -163,7 +163,7 @@
         ]
 
     def fail(self, host_ids: Iterable[str]) -> None:
-        """Fail hosts: they leave the list, and their running steps are refused."""
+        """Fail hosts: they are not listed, and their running steps are refused."""
         for host_id in host_ids:
             host = self._hosts_by_id[host_id]
             host.is_failed = True
