--- a/bench/capacity/nodes.py
+++ b/bench/capacity/nodes.py
@@ -81,7 +81,7 @@
             reply = await deployment.publish("trial", document, revision)
             times_s.append(time.monotonic() - began)
             if reply.get("not_in_force_on"):
-                raise RuntimeError(f"not in force everywhere: {reply}")
+                raise RuntimeError(f"not in force on all nodes: {reply}")
             new_revision = reply["revision"]
             assert isinstance(new_revision, int)
             revision = new_revision
--- a/clementinespar/admin/publishing.py
+++ b/clementinespar/admin/publishing.py
@@ -168,7 +168,8 @@
     ) -> Publication:
         if not self._is_ready():
             raise errors.ClementinesparError(
-                codes.ResultCode.NOT_READY, "this node has not read the log yet"
+                codes.ResultCode.NOT_READY,
+                "this node has not read the current state yet",
             )
         result = await self._appender.append(record, APPEND_TIMEOUT_S)
         if result.code != codes.ResultCode.OK:
--- a/clementinespar/options.py
+++ b/clementinespar/options.py
@@ -54,7 +54,7 @@
     """Return ``http[s]://IP[:port]`` unchanged, or raise ValueError."""
     parts = urllib.parse.urlsplit(text)
     if parts.scheme not in ("http", "https") or parts.path or parts.query:
-        raise ValueError("expected http://IP:port")
+        raise ValueError("expected http[s]://IP[:port]")
     check_ip(parts.hostname or "")
     if parts.port == 0:  # reading the port raises ValueError above 65535
         raise ValueError("expected a port from 1 to 65535")
--- a/standins/fake_platform.py
+++ b/standins/fake_platform.py
@@ -261,7 +261,7 @@
             raise errors.PlatformRefusedError(f"{task_id} runs on {current.host_id}")
         if host.is_failed or (host.is_leaving and current is None):
             raise errors.PlatformRefusedError(
-                f"host {host_id} is failed or leaving and takes no new task"
+                f"host {host_id} is failed or leaving and accepts no new task"
             )
         until_s = asyncio.get_running_loop().time() + lease_s
         lease = Lease(task_id, host_id, until_s)
