--- a/clementinespar/admin/publishing.py
+++ b/clementinespar/admin/publishing.py
@@ -168,7 +168,8 @@
     ) -> Publication:
         if not self._is_ready():
             raise errors.ClementinesparError(
-                codes.ResultCode.NOT_READY, "this node has not read the log yet"
+                codes.ResultCode.NOT_READY,
+                "this node has not read the current state yet",
             )
         result = await self._appender.append(record, APPEND_TIMEOUT_S)
         if result.code != codes.ResultCode.OK:
@@ -239,7 +240,7 @@
     """Return the publication that replaced a revision.
 
     If the history no longer has it, or the revision was never in force, return the
-    newest accepted publication.
+    newest accepted publication, or None if there is none.
     """
     accepted = [
         publication
@@ -270,7 +271,8 @@
     value = body[key]
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
         raise errors.ClementinesparError(
-            codes.ResultCode.REQUEST_INVALID, f"{key}: expected an integer from 0"
+            codes.ResultCode.REQUEST_INVALID,
+            f"{key}: expected an integer of at least 0",
         )
     return value
 
