--- a/bench/capacity/probe.py
+++ b/bench/capacity/probe.py
@@ -188,7 +188,7 @@
     now_ms = state.log_time_ms
     for _ in range(_SNAPSHOT_CLAIMS):
         request_id = identifiers.new_id(now_ms)
-        state.claims.claims_by_request_id[request_id] = claims_state.HeldClaim(
+        state.claims.claims_by_request_id[request_id] = claims_state.StoredClaim(
             identifiers.new_id(now_ms), "bench", now_ms
         )
     began = time.process_time()
--- a/clementinespar/admin/publishing.py
+++ b/clementinespar/admin/publishing.py
@@ -47,7 +47,7 @@
         """Return the live nodes that have applied a revision, and the others."""
         ...
 
-    def unreached_nodes(self) -> list[str]:
+    def unresponsive_nodes(self) -> list[str]:
         """Return the known nodes that are unresponsive to this one."""
         ...
 
@@ -184,7 +184,7 @@
             revision,
             tuple(applied),
             tuple(missing),
-            tuple(self._view.unreached_nodes()),
+            tuple(self._view.unresponsive_nodes()),
         )
 
     async def _wait_in_force(
--- a/clementinespar/claims/claimer.py
+++ b/clementinespar/claims/claimer.py
@@ -93,20 +93,20 @@
             or identifiers.parse_issued_ms(request_id) is None
         ):
             return codes.ResultCode.REQUEST_INVALID
-        held = self._source.state.claims.claims_by_request_id.get(request_id)
-        if held is not None and held.claim_id not in self._releasing_claim_ids:
+        stored = self._source.state.claims.claims_by_request_id.get(request_id)
+        if stored is not None and stored.claim_id not in self._releasing_claim_ids:
             return codes.ResultCode.ALREADY_CLAIMED
         loop = asyncio.get_running_loop()
         claim = messages.Claim(
             request_id=request_id, claim_id=secrets.token_hex(_CLAIM_ID_BYTES)
         )
-        waiting = _PendingClaim(claim, loop.time() + timeout_s, loop.create_future())
-        self._pending_claims.append(waiting)
+        pending = _PendingClaim(claim, loop.time() + timeout_s, loop.create_future())
+        self._pending_claims.append(pending)
         self._start_flush()
         code = codes.ResultCode.CLAIM_UNAVAILABLE
         try:
-            async with asyncio.timeout_at(waiting.deadline):
-                code = await waiting.result
+            async with asyncio.timeout_at(pending.deadline):
+                code = await pending.result
         except TimeoutError:
             pass
         finally:
@@ -114,7 +114,7 @@
             if code == codes.ResultCode.OK:
                 self._record_won(claim)
             else:
-                self._withdraw(waiting)
+                self._withdraw(pending)
         return code
 
     async def release(self, request_id: str) -> None:
@@ -142,24 +142,27 @@
 
     def _record_won(self, claim: messages.Claim) -> None:
         self._won_by_request_id[claim.request_id] = claim
-        held = self._source.state.claims.claims_by_request_id
+        stored_by_request_id = self._source.state.claims.claims_by_request_id
         while self._won_by_request_id:
             request_id, oldest = next(iter(self._won_by_request_id.items()))
-            if request_id in held and held[request_id].claim_id == oldest.claim_id:
+            if (
+                request_id in stored_by_request_id
+                and stored_by_request_id[request_id].claim_id == oldest.claim_id
+            ):
                 return
             del self._won_by_request_id[request_id]  # too old to be claimed again
 
-    def _withdraw(self, waiting: _PendingClaim) -> None:
+    def _withdraw(self, pending: _PendingClaim) -> None:
         """Withdraw a claim whose request will not run."""
-        if waiting in self._pending_claims:
-            self._pending_claims.remove(waiting)
+        if pending in self._pending_claims:
+            self._pending_claims.remove(pending)
         elif (
-            waiting.result.done()
-            and not waiting.result.cancelled()
-            and waiting.result.result() == codes.ResultCode.OK
+            pending.result.done()
+            and not pending.result.cancelled()
+            and pending.result.result() == codes.ResultCode.OK
         ):
             # The claim won while its caller was being cancelled.
-            self._queue_release(waiting.claim)
+            self._queue_release(pending.claim)
         # Otherwise `_append_claims` finds that the result was cancelled.
 
     def _abandon(self, claim: messages.Claim) -> None:
@@ -176,12 +179,12 @@
         while self._abandoned_by_claim_id:
             await asyncio.sleep(_SWEEP_INTERVAL_S)
             now = asyncio.get_running_loop().time()
-            held_by_request_id = self._source.state.claims.claims_by_request_id
+            stored_by_request_id = self._source.state.claims.claims_by_request_id
             for claim_id, (claim, expires_at) in list(
                 self._abandoned_by_claim_id.items()
             ):
-                held = held_by_request_id.get(claim.request_id)
-                if held is not None and held.claim_id == claim_id:
+                stored = stored_by_request_id.get(claim.request_id)
+                if stored is not None and stored.claim_id == claim_id:
                     del self._abandoned_by_claim_id[claim_id]
                     self._queue_release(claim)
                 elif now > expires_at:
@@ -226,23 +229,23 @@
             record_id=identifiers.new_id(issued_ms),
             issued_ms=issued_ms,
             author=self._author,
-            claims=tuple(waiting.claim for waiting in batch),
+            claims=tuple(pending.claim for pending in batch),
         )
-        timeout_s = max(waiting.deadline for waiting in batch) - now
+        timeout_s = max(pending.deadline for pending in batch) - now
         try:
             result = await self._appender.append(record, timeout_s)
         except errors.ClementinesparError as error:
             _log.info("append of {} claims got no result: {}", len(batch), error)
             result = None
             if not isinstance(error, errors.LogUnavailableError):
-                for waiting in batch:
-                    self._abandon(waiting.claim)
-        for waiting in batch:
-            code = self._outcome(waiting.claim, result)
-            if not waiting.result.done():
-                waiting.result.set_result(code)
+                for pending in batch:
+                    self._abandon(pending.claim)
+        for pending in batch:
+            code = self._outcome(pending.claim, result)
+            if not pending.result.done():
+                pending.result.set_result(code)
             elif code == codes.ResultCode.OK:
-                self._queue_release(waiting.claim)
+                self._queue_release(pending.claim)
 
     def _outcome(
         self, claim: messages.Claim, result: fleet_state.RecordResult | None
@@ -250,15 +253,15 @@
         """Return the result of a claim according to the fold."""
         if result is None or result.code != codes.ResultCode.OK:
             return codes.ResultCode.CLAIM_UNAVAILABLE
-        held = self._source.state.claims.claims_by_request_id.get(claim.request_id)
-        if held is None:
+        stored = self._source.state.claims.claims_by_request_id.get(claim.request_id)
+        if stored is None:
             # Either the request id was refused, or the winning claim has been released
             # or has expired since. This node must not dispatch in any of these cases.
             code = state.check_age(claim.request_id, result.timestamp_ms)
             if code != codes.ResultCode.OK:
                 return code
             return codes.ResultCode.CLAIM_UNAVAILABLE
-        if held.claim_id == claim.claim_id:
+        if stored.claim_id == claim.claim_id:
             return codes.ResultCode.OK
         return codes.ResultCode.ALREADY_CLAIMED
 
--- a/clementinespar/claims/state.py
+++ b/clementinespar/claims/state.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeldClaim:
+class StoredClaim:
     """The claim that won a request id."""
 
     claim_id: str
@@ -31,7 +31,7 @@
 class ClaimsState:
     """Claims by request id, in log order."""
 
-    claims_by_request_id: collections.OrderedDict[str, HeldClaim] = dataclasses.field(
+    claims_by_request_id: collections.OrderedDict[str, StoredClaim] = dataclasses.field(
         default_factory=collections.OrderedDict
     )
 
@@ -61,7 +61,7 @@
             continue
         if claim.request_id in state.claims_by_request_id:
             continue
-        state.claims_by_request_id[claim.request_id] = HeldClaim(
+        state.claims_by_request_id[claim.request_id] = StoredClaim(
             claim.claim_id,
             record.author,
             identifiers.parse_issued_ms(claim.request_id) or 0,
@@ -76,8 +76,8 @@
 ) -> codes.ResultCode:
     """Drop the claims whose claim ids match those of the record."""
     for claim in record.claims:
-        held = state.claims_by_request_id.get(claim.request_id)
-        if held is not None and held.claim_id == claim.claim_id:
+        stored = state.claims_by_request_id.get(claim.request_id)
+        if stored is not None and stored.claim_id == claim.claim_id:
             del state.claims_by_request_id[claim.request_id]
     return codes.ResultCode.OK
 
@@ -92,7 +92,7 @@
     """
     claims = state.claims_by_request_id
     while claims:
-        request_id, held = next(iter(claims.items()))
-        if held.issued_ms >= log_time_ms - CLAIM_RETENTION_MS:
+        request_id, stored = next(iter(claims.items()))
+        if stored.issued_ms >= log_time_ms - CLAIM_RETENTION_MS:
             return
         del claims[request_id]
--- a/clementinespar/claims/tests/test_claimer.py
+++ b/clementinespar/claims/tests/test_claimer.py
@@ -134,7 +134,7 @@
 def test_claim_that_wins_while_its_caller_is_cancelled_is_released(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a claim that stays held if its caller is cancelled late."""
+    """Guards against a claim that is not released if its caller is cancelled late."""
 
     async def main() -> None:
         outcome = claims_claimer.Claimer._outcome
--- a/clementinespar/duties/holder.py
+++ b/clementinespar/duties/holder.py
@@ -142,7 +142,7 @@
         if lease is None or lease.holder != self._author:
             return 0.0
         if not self.is_held:
-            _log.info("this node now holds duty {}", self.duty)
+            _log.info("this node now holds the lease of duty {}", self.duty)
         self._since_offset = lease.since_offset
         self._lease_ends_at = sent + self._lease_ms / 1000
         return max(0.0, sent + self._lease_ms / 2000 - loop.time())
--- a/clementinespar/duties/state.py
+++ b/clementinespar/duties/state.py
@@ -18,7 +18,7 @@
     """Lease of one duty."""
 
     holder: str  # name of the lease holder
-    since_offset: int  # offset of the first claim of this holder, the fencing token
+    since_offset: int  # offset of the claim that began the lease, its fencing offset
     until_ms: int  # log time at which the lease ends
 
 
--- a/clementinespar/duties/tests/test_holder.py
+++ b/clementinespar/duties/tests/test_holder.py
@@ -99,9 +99,8 @@
     log = node.log
     await node.appender.append(node.duty_record("first"), 5.0)
     holder = make_holder(node)
-    node.access.faults.visible_end = (
-        1  # the claim takes effect, but the node cannot read it
-    )
+    # The claim takes effect, but the node cannot read it.
+    node.access.faults.visible_end = 1
     loop = asyncio.get_running_loop()
     async with holder.running():
         start = loop.time()
--- a/clementinespar/fleet/snapshot.py
+++ b/clementinespar/fleet/snapshot.py
@@ -37,7 +37,7 @@
 _STATE_ADAPTER: pydantic.TypeAdapter[state.FleetState] = pydantic.TypeAdapter(
     state.FleetState
 )
-_Claims = dict[str, claims_state.HeldClaim]
+_Claims = dict[str, claims_state.StoredClaim]
 _CLAIMS_ADAPTER: pydantic.TypeAdapter[_Claims] = pydantic.TypeAdapter(_Claims)
 _Results = dict[str, state.RecordResult]
 _RESULTS_ADAPTER: pydantic.TypeAdapter[_Results] = pydantic.TypeAdapter(_Results)
--- a/clementinespar/node.py
+++ b/clementinespar/node.py
@@ -148,13 +148,13 @@
     @property
     def can_own(self) -> bool:
         """Whether this node may own queues: it has the state and a host list."""
-        return self._knows_targets() and not self.is_stopping
+        return self._has_targets() and not self.is_stopping
 
     def _queue_group(self, service: str) -> str:
         document = self.follower.state.documents.production
         return service if document is None else document.queue_group(service)
 
-    def _knows_targets(self) -> bool:
+    def _has_targets(self) -> bool:
         return self.follower.is_ready and self.host_list.latest is not None
 
     @property
@@ -262,7 +262,7 @@
             )
             self.router = _ObservedRouter(self.peers, self.follower)
             self.ports["peers"] = await stack.enter_async_context(
-                self.peers.running(self.follower, self.dispatcher, self._knows_targets)
+                self.peers.running(self.follower, self.dispatcher, self._has_targets)
             )
             await stack.enter_async_context(self.follower.running())
             await stack.enter_async_context(self.host_list.running())
--- a/clementinespar/peers/directory.py
+++ b/clementinespar/peers/directory.py
@@ -71,7 +71,7 @@
         self,
         entries: server.EntrySource,
         owner: model.RequestHandler,
-        knows_targets: Callable[[], bool] = lambda: True,
+        has_targets: Callable[[], bool] = lambda: True,
     ) -> AsyncIterator[int]:
         """Serve the peer protocol and send heartbeats; yield the bound port.
 
@@ -81,9 +81,9 @@
             Provides log entries and snapshots for other nodes.
         owner : model.RequestHandler
             This node's own dispatcher.
-        knows_targets : callable
+        has_targets : callable
             Whether the dispatcher has the folded state and the targets. Until then,
-            requests of other nodes are refused, so that they try another node.
+            requests of other nodes are refused, so that those nodes try another owner.
         """
         settings = self._settings.peers
         listener = server.bind(settings.address, settings.port)
@@ -91,7 +91,7 @@
         host = f"[{settings.address}]" if ":" in settings.address else settings.address
         self._owner = owner
         self._service = server.PeerService(
-            self.members, entries, owner, settings.max_message_bytes, knows_targets
+            self.members, entries, owner, settings.max_message_bytes, has_targets
         )
         async with (
             server.serving(self._service, settings, listener),
@@ -214,7 +214,7 @@
             (applied if node_revision >= revision else missing).append(name)
         return applied, missing
 
-    def unreached_nodes(self) -> list[str]:
+    def unresponsive_nodes(self) -> list[str]:
         """Return the known nodes that do not answer this one.
 
         They may be stopped, or cut off from the network and still serving callers with
--- a/clementinespar/peers/membership.py
+++ b/clementinespar/peers/membership.py
@@ -80,9 +80,12 @@
 
     member: Member
     report: Report
-    mentioned_at: float  # loop time of the last message from, or member list with, it
+    # Loop time of the last message from it or, while it does not answer, of the last
+    # member list that contains it.
+    mentioned_at: float
     answered_at: float | None = None  # loop time of its last reply to a heartbeat
-    heartbeat_received_at: float = float("-inf")  # loop time of the last one it sent
+    # Loop time at which its last own heartbeat arrived; replies do not count.
+    heartbeat_received_at: float = float("-inf")
 
     @property
     def name(self) -> str:
--- a/clementinespar/peers/server.py
+++ b/clementinespar/peers/server.py
@@ -58,15 +58,16 @@
         This node's own dispatcher.
     max_message_bytes : int
         Size of the largest message that is accepted.
-    knows_targets : callable
-        Whether the dispatcher can decide on requests yet.
+    has_targets : callable
+        Whether the dispatcher has the folded state and the targets. Until then,
+        requests of other nodes are refused.
     """
 
     _members: membership.Membership
     _entries: EntrySource
     _owner: model.RequestHandler
     _max_message_bytes: int
-    _knows_targets: Callable[[], bool]
+    _has_targets: Callable[[], bool]
     _request_ids: dict[object, str]  # request ids of in-flight Dispatch calls by stream
     _idle: asyncio.Event  # set while no Dispatch call is in flight
 
@@ -76,13 +77,13 @@
         entries: EntrySource,
         owner: model.RequestHandler,
         max_message_bytes: int,
-        knows_targets: Callable[[], bool] = lambda: True,
+        has_targets: Callable[[], bool] = lambda: True,
     ) -> None:
         self._members = members
         self._entries = entries
         self._owner = owner
         self._max_message_bytes = max_message_bytes
-        self._knows_targets = knows_targets
+        self._has_targets = has_targets
         self._request_ids = {}
         self._idle = asyncio.Event()
         self._idle.set()
@@ -181,11 +182,11 @@
 
     async def _handle(self, stream: Any, request: model.Request) -> model.Outcome:
         """Handle a request, and send its events and outcome to the sender."""
-        if not self._knows_targets():
+        if not self._has_targets():
             outcome = model.Outcome(
                 model.OutcomeKind.NOT_RUN,
                 codes.ResultCode.NOT_READY,
-                "the owner node does not know the targets yet",
+                "the owner node does not have the list of targets yet",
             )
             await stream.send_message(
                 peer_pb2.DispatchEvent(outcome=_encode_outcome(outcome))
--- a/clementinespar/peers/tests/test_membership.py
+++ b/clementinespar/peers/tests/test_membership.py
@@ -32,6 +32,8 @@
 
 
 def test_nodes_discover_each_other_from_one_seed() -> None:
+    """Guards against nodes that find only the seed."""
+
     async def main() -> None:
         async with _three_nodes(memory_network.Network()) as (a, b, c):
             assert a.live() == ["b", "c"]
@@ -42,6 +44,8 @@
 
 
 def test_cut_node_is_dead_after_missed_heartbeats_and_recovers() -> None:
+    """Guards against a node that is dead too early, too late or after the cut ends."""
+
     async def main() -> None:
         network = memory_network.Network()
         async with _three_nodes(network) as (a, b, c):
@@ -64,7 +68,8 @@
 def test_unreachable_node_is_dead_although_its_heartbeats_arrive(
     source: str, target: str
 ) -> None:
-    # Guards against forwarding requests to an owner that they cannot reach.
+    """Guards against forwarding requests to an owner that they cannot reach."""
+
     async def main() -> None:
         network = memory_network.Network()
         async with _three_nodes(network) as (a, b, _):
@@ -83,7 +88,8 @@
 
 
 def test_only_one_node_of_a_pair_sends_every_heartbeat() -> None:
-    # Guards against the cost of both nodes of a pair sending heartbeats every interval.
+    """Guards against the cost of heartbeats of both nodes of a pair every interval."""
+
     async def main() -> None:
         network = memory_network.Network()
         async with _three_nodes(network):
@@ -99,7 +105,7 @@
 def test_nodes_that_forgot_each_other_reconnect_after_a_long_cut(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a partition that stays after the network has recovered.
+    """Guards against a partition that stays after the network has recovered."""
     monkeypatch.setattr(membership, "FORGET_AFTER_S", 60.0)
 
     async def main() -> None:
@@ -116,7 +122,7 @@
 
 
 def test_dead_node_is_removed_from_every_node(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against nodes that send each other lists with a dead node for ever.
+    """Guards against nodes that send each other lists with a dead node for ever."""
     monkeypatch.setattr(membership, "FORGET_AFTER_S", 60.0)
 
     async def main() -> None:
@@ -133,7 +139,8 @@
 
 
 def test_replacement_at_a_new_address_supersedes_its_predecessor() -> None:
-    # Guards against two running nodes of one name after the predecessor resumes.
+    """Guards against two running nodes of one name after the predecessor resumes."""
+
     async def main() -> None:
         network = memory_network.Network()
         async with _three_nodes(network) as (a, b, c):
@@ -156,7 +163,8 @@
 
 
 def test_replacement_whose_clock_is_behind_is_accepted() -> None:
-    # Guards against refusing a replacement whose start time is the earlier one.
+    """Guards against refusing a replacement whose start time is the earlier one."""
+
     async def main() -> None:
         network = memory_network.Network()
         async with memory_network.running_node(network, "a", _A) as a:
@@ -175,7 +183,8 @@
 
 
 def test_other_node_at_the_address_of_a_dead_one() -> None:
-    # Guards against a dead node that counts as alive because another one answers.
+    """Guards against a dead node that counts as alive because another one answers."""
+
     async def main() -> None:
         network = memory_network.Network()
         async with memory_network.running_node(network, "a", _A) as a:
@@ -189,8 +198,11 @@
 
 
 def test_peers_stay_alive_after_a_pause_of_this_process() -> None:
-    # Guards against a node that resumes after a pause, treats all others as dead and
-    # takes ownership of every queue.
+    """Guards against a node that owns every queue after it was paused.
+
+    After the pause, it would treat all other nodes as dead.
+    """
+
     async def main() -> None:
         network = memory_network.Network()
         async with _three_nodes(network) as (a, _, _c):
@@ -205,7 +217,8 @@
 
 
 def test_announce_updates_every_live_node_before_it_returns() -> None:
-    # Guards against forwarding requests to a node that has begun to drain.
+    """Guards against forwarding requests to a node that has begun to drain."""
+
     async def main() -> None:
         network = memory_network.Network()
         async with _three_nodes(network) as (a, b, c):
@@ -220,7 +233,8 @@
 
 
 def test_member_lists_are_sent_on_change_only() -> None:
-    # Guards against the cost of a member list in every heartbeat.
+    """Guards against the cost of a member list in every heartbeat."""
+
     async def main() -> None:
         network = memory_network.Network()
         async with _three_nodes(network):
@@ -233,7 +247,8 @@
 
 
 def test_older_report_does_not_lower_offset_or_revision() -> None:
-    # Guards against an older offset that a delayed reply restores.
+    """Guards against an older offset that a delayed reply restores."""
+
     async def main() -> None:
         network = memory_network.Network()
         async with _three_nodes(network) as (a, b, _):
@@ -248,7 +263,8 @@
 
 
 def test_heartbeats_with_invalid_members_are_ignored() -> None:
-    # Guards against invalid names and endpoints that end the heartbeat tasks.
+    """Guards against invalid names and endpoints that end the heartbeat tasks."""
+
     async def main() -> None:
         async with memory_network.running_node(
             memory_network.Network(), "a", _A
--- a/clementinespar/peers/tests/test_membership_faults.py
+++ b/clementinespar/peers/tests/test_membership_faults.py
@@ -191,7 +191,8 @@
 @hypothesis.given(strategies.lists(_actions, max_size=25))
 @hypothesis.settings(derandomize=True, max_examples=150, deadline=None)
 def test_views_agree_after_the_faults_end(actions: list[object]) -> None:
-    # Guards against nodes that never agree on who is alive and who has a name.
+    """Guards against nodes that never agree on who is alive and who has a name."""
+
     async def main() -> None:
         cluster = _Cluster()
         try:
--- a/clementinespar/peers/tests/test_relay.py
+++ b/clementinespar/peers/tests/test_relay.py
@@ -96,7 +96,7 @@
     source: str,
     count: int,
 ) -> None:
-    # Guards against a gap, by which a node would skip entries of the log.
+    """Guards against a gap, by which a node would skip entries of the log."""
     entries = paused_clock.run(_fetch(_relay(monkeypatch, peers), from_offset))
     assert [entry.offset for entry in entries] == list(
         range(from_offset, from_offset + count)
@@ -113,6 +113,7 @@
 def test_snapshot_comes_from_the_most_advanced_peer_that_answers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """Guards against an old snapshot, and a search that ends at a failing peer."""
     peers = [
         FakePeer("old", 0, 3),
         FakePeer("cut", 0, 9, is_failing=True),
--- a/clementinespar/peers/tests/test_wire.py
+++ b/clementinespar/peers/tests/test_wire.py
@@ -124,6 +124,8 @@
 
 
 def test_answer_larger_than_a_message_is_received_completely() -> None:
+    """Guards against answers that are limited to the size of one message."""
+
     async def main() -> None:
         async with connected() as connection:
             started = asyncio.Event()
@@ -140,8 +142,11 @@
 
 
 def test_more_requests_than_the_default_http2_streams_wait_at_the_owner() -> None:
-    # Guards against senders that wait for a stream, treat a busy owner as lost and try
-    # another node.
+    """Guards against senders that treat a busy owner as lost.
+
+    They would wait for a stream and then try another node.
+    """
+
     async def main() -> None:
         async with connected() as connection:
             tasks = [
@@ -163,8 +168,11 @@
 
 @pytest.mark.parametrize("is_started", [False, True])
 def test_request_whose_owner_stops_has_unknown_outcome(is_started: bool) -> None:
-    # Guards against a not-run outcome: the request may have run even if the event of
-    # its start did not arrive.
+    """Guards against a not-run outcome of a request that may have run.
+
+    The event of its start may not have arrived.
+    """
+
     async def main() -> None:
         async with connected() as connection:
             started = asyncio.Event()
@@ -183,7 +191,8 @@
 
 
 def test_request_to_an_unreachable_owner_was_not_run() -> None:
-    # Guards against an unknown outcome for a request that was never sent.
+    """Guards against an unknown outcome for a request that was never sent."""
+
     async def main() -> None:
         listener = server.bind("127.0.0.1", 0)
         endpoint = f"127.0.0.1:{listener.getsockname()[1]}"
@@ -198,7 +207,8 @@
 
 
 def test_cancelled_request_is_cancelled_at_the_owner() -> None:
-    # Guards against queued requests at the owner whose caller has left.
+    """Guards against queued requests at the owner whose caller has left."""
+
     async def main() -> None:
         async with connected() as connection:
             task = asyncio.create_task(
@@ -214,7 +224,8 @@
 
 
 def test_request_over_the_limit_is_refused_on_both_sides() -> None:
-    # Guards against an unknown outcome for a request that was too large to run.
+    """Guards against an unknown outcome for a request that was too large to run."""
+
     async def main() -> None:
         async with connected() as connection:
             body = bytes(_SETTINGS.max_message_bytes)
@@ -235,6 +246,8 @@
 
 
 def test_entries_and_snapshot_are_received_completely() -> None:
+    """Guards against entries and parts of a snapshot that are not received."""
+
     async def main() -> None:
         async with connected() as connection:
             entries = await connection.client.fetch_entries(3, 4)
@@ -260,7 +273,8 @@
 
 
 def test_calls_on_an_unresponsive_connection_time_out() -> None:
-    # Guards against calls that end only at their deadlines, or never.
+    """Guards against calls that end only at their deadlines, or never."""
+
     async def main() -> None:
         async with _unresponsive_listener() as endpoint, asyncio.timeout(20):
             peer_client = client.PeerClient(endpoint, _SETTINGS)
@@ -277,6 +291,8 @@
 
 
 def test_new_connection_is_used_after_a_heartbeat_timeout() -> None:
+    """Guards against heartbeats that stay on an unresponsive connection."""
+
     async def main() -> None:
         async with connected() as connection, _unresponsive_listener() as endpoint:
             owner_endpoint = connection.client.endpoint
@@ -292,8 +308,8 @@
 
 
 def test_connection_reset_does_not_interrupt_in_flight_requests() -> None:
-    # Guards against a heartbeat timeout that makes the outcome of in-flight requests
-    # unknown.
+    """Guards against a heartbeat timeout that makes outcomes of requests unknown."""
+
     async def main() -> None:
         async with connected() as connection:
             task = asyncio.create_task(
@@ -344,7 +360,8 @@
     client_settings: options.PeersSettings,
     is_accepted: bool,
 ) -> None:
-    # Guards against a process on the network that connects without a certificate.
+    """Guards against a process on the network that connects without a certificate."""
+
     async def main() -> None:
         async with connected(server_settings, client_settings) as connection:
             connection.owner.before_start.set()
--- a/clementinespar/platform/service.py
+++ b/clementinespar/platform/service.py
@@ -46,10 +46,10 @@
 class PlatformService(Protocol):
     """Host list and host actions of the platform.
 
-    Every call raises `errors.PlatformUnavailableError` if there is no valid answer; the
-    action may then have taken effect, which `operation_status` returns. Host actions
-    raise `errors.PlatformRefusedError` if the platform refused them without effect, for
-    example because of a stale fencing offset.
+    Every call raises `errors.PlatformUnavailableError` if there is no valid answer. The
+    action may then have taken effect; `operation_status` shows whether it did. Host
+    actions raise `errors.PlatformRefusedError` if the platform refused them without
+    effect, for example because of a stale fencing offset.
     """
 
     async def list_hosts(self) -> HostList:
--- a/clementinespar/platform/tests/test_http.py
+++ b/clementinespar/platform/tests/test_http.py
@@ -56,6 +56,8 @@
 
 
 def test_host_is_drained_and_rebooted_into_a_pool() -> None:
+    """Guards against calls that do not follow the platform's HTTP interface."""
+
     async def scenario(
         client: http.HttpPlatformService, platform: fake_platform.FakePlatform
     ) -> None:
@@ -89,7 +91,8 @@
 
 
 def test_unchanged_hosts_are_not_transferred_again() -> None:
-    # Guards against transferring 150 KB every second, the list at the planned size.
+    """Guards against transferring the list every second: 150 KB with 1,100 hosts."""
+
     async def scenario(
         client: http.HttpPlatformService, platform: fake_platform.FakePlatform
     ) -> None:
@@ -119,7 +122,8 @@
 def test_errors_distinguish_refused_from_unavailable_actions(
     fault: str, code: codes.ResultCode, has_effect: bool
 ) -> None:
-    # Guards against a lost reply that is reported as a refusal, and the reverse.
+    """Guards against a lost reply that is reported as a refusal, and the reverse."""
+
     async def scenario(
         client: http.HttpPlatformService, platform: fake_platform.FakePlatform
     ) -> None:
@@ -144,6 +148,8 @@
     [(200, b"{}"), (200, b"[1]"), (302, b""), (304, b""), (500, b"")],
 )
 def test_invalid_replies_raise_platform_unavailable(status: int, body: bytes) -> None:
+    """Guards against an invalid reply that is used as a host list."""
+
     class Handler(web.RequestHandler):
         def get(self) -> None:
             self.set_status(status)
@@ -168,6 +174,8 @@
 
 
 def test_standin_fault_switches_and_target_notices() -> None:
+    """Guards against switches of the stand-in that have no effect."""
+
     async def main() -> None:
         notices: asyncio.Queue[dict[str, bool]] = asyncio.Queue()
 
--- a/clementinespar/platform/tests/test_watcher.py
+++ b/clementinespar/platform/tests/test_watcher.py
@@ -16,7 +16,7 @@
 
 @paused_clock.test
 async def test_list_lags_and_age_grows_while_the_platform_is_down() -> None:
-    # Guards against an old list that counts as current during an outage.
+    """Guards against an old list that counts as current during an outage."""
     platform = fake_platform.FakePlatform(_SEEDS)
     platform.faults.list_lag_s = 5.0
     async with watcher.HostListWatcher(platform, 1.0).running() as watched:
@@ -39,7 +39,8 @@
 
 @paused_clock.test
 async def test_slow_or_repeated_replies_do_not_reset_the_age() -> None:
-    # Guards against an old list that counts as new because it was read again.
+    """Guards against an old list that counts as new because it was read again."""
+
     class FrozenPlatform(fake_platform.FakePlatform):
         async def list_hosts(self) -> service.HostList:
             await asyncio.sleep(2)
@@ -55,7 +56,7 @@
 
 @paused_clock.test
 async def test_older_list_does_not_replace_a_newer_one() -> None:
-    # Guards against hosts that reappear because the platform sends an older list.
+    """Guards against hosts that reappear because the platform sends an older list."""
     platform = fake_platform.FakePlatform(_SEEDS)
     watched = watcher.HostListWatcher(platform, 1.0)
     await watched.poll()
--- a/clementinespar/requests/admission.py
+++ b/clementinespar/requests/admission.py
@@ -68,7 +68,7 @@
     if buffered_bytes + len(in_flight.request.body) > MAX_BUFFERED_BYTES:
         return model.not_run(
             codes.ResultCode.QUEUE_FULL,
-            "the bodies of waiting and running requests exceed the memory limit",
+            "the bodies of waiting and running requests would exceed the memory limit",
         )
     slot_counts = selection.count_slots(service, usable, document, declared)
     wait_s, is_quota = service.queue.expected_wait_s(entry, slot_counts, now)
--- a/clementinespar/requests/dispatcher.py
+++ b/clementinespar/requests/dispatcher.py
@@ -3,7 +3,7 @@
 Outcomes are exact. A request is reported as not run only if no attempt can have reached
 a target, or if every target that was reached refused it and stated that nothing had
 started. A request that is not repeatable is claimed in the log before its first attempt
-and is never sent again after a byte of it may have left.
+and is never sent again after a byte of it may have been sent.
 """
 
 import asyncio
--- a/clementinespar/requests/ejection.py
+++ b/clementinespar/requests/ejection.py
@@ -87,7 +87,7 @@
         """Remove the failures of a request that failed on several targets.
 
         Such a request is the likely cause itself, so its targets are not blamed; an
-        ejection that rests on these failures ends.
+        ejection that depends on these failures ends.
         """
         for host_id in host_ids:
             record = self._records_by_host_id.get(host_id)
@@ -141,7 +141,7 @@
     def retain_hosts(self, host_ids: set[str]) -> None:
         """Drop the records of all other hosts.
 
-        A target that returns to the pool, such as one that rebooted, has no failures.
+        A target that returns to the pool later, e.g. after a reboot, has no failures.
         """
         for host_id in [i for i in self._records_by_host_id if i not in host_ids]:
             del self._records_by_host_id[host_id]
--- a/clementinespar/requests/flights.py
+++ b/clementinespar/requests/flights.py
@@ -36,7 +36,7 @@
     declared_s: float  # run time that the caller or the document declares
     started_callbacks: list[Callable[[], None]]
     waiters: int = 0  # callers that still wait; 0 if all of them have left
-    has_started: bool = False  # a byte may have left for a target
+    has_started: bool = False  # a byte may have been sent to a target
     is_claimed: bool = False
     queued_at: float = 0.0  # event-loop time
     expiry: asyncio.TimerHandle | None = None  # refuses the request if still queued
@@ -55,7 +55,7 @@
     task: "asyncio.Task[model.Outcome] | None" = None
 
     def mark_started(self) -> None:
-        """Report to the callers, once, that a byte may leave for a target now."""
+        """Report once to the callers that bytes may be sent to a target from now on."""
         if not self.has_started:
             self.has_started = True
             for callback in self.started_callbacks:
--- a/clementinespar/requests/model.py
+++ b/clementinespar/requests/model.py
@@ -63,7 +63,7 @@
     async def handle(self, request: Request, on_started: Callable[[], None]) -> Outcome:
         """Return the outcome; never raises for a failure of targets or peers.
 
-        ``on_started`` is called before the first byte may leave for a target.
+        ``on_started`` is called before the first byte may be sent to a target.
         Cancellation of the task means that the caller has left: a queued request is
         then dropped, and a running one continues at its target.
         """
@@ -102,7 +102,8 @@
     """What is certain about one attempt at a target."""
 
     ANSWERED = "answered"
-    NOT_STARTED = "not-started"  # no byte left, or the target states it did not start
+    # No byte was sent, or the target stated that the request had not started.
+    NOT_STARTED = "not-started"
     UNKNOWN = "unknown"
 
 
--- a/clementinespar/requests/router.py
+++ b/clementinespar/requests/router.py
@@ -34,7 +34,7 @@
     kind: str
     accepted_at: float  # event-loop time
     owners: list[str]  # nodes that the request was sent to, in order
-    has_started: bool = False  # a byte may have left for a target
+    has_started: bool = False  # a byte may have been sent to a target
     outcome: model.Outcome | None = None
 
 
@@ -133,8 +133,8 @@
             return False
         if outcome.kind is model.OutcomeKind.NOT_RUN:
             return outcome.code in _NOT_ACCEPTED_CODES
-        # The connection to the owner broke before the owner reported a start. Only a
-        # repeatable request may be sent again, as it may have run already.
+        # The connection to the owner broke before the owner reported a start. The
+        # request may still have run, so it is sent again only if it is repeatable.
         return (
             outcome.kind is model.OutcomeKind.UNKNOWN
             and outcome.code == codes.ResultCode.OWNER_LOST
--- a/clementinespar/requests/server.py
+++ b/clementinespar/requests/server.py
@@ -26,7 +26,7 @@
 from clementinespar.requests import model
 from clementinespar.requests import router as request_router
 
-MAX_ID_LENGTH = 120  # as in the claims' records
+MAX_ID_LENGTH = 120  # limit of `claims.messages.Claim.request_id`
 MAX_TEAM_LENGTH = 80
 _ID_CHARACTERS = frozenset(string.ascii_letters + string.digits + "-_.:")
 # Most bytes of bodies in memory at once. Connections are limited only in number, and a
@@ -309,7 +309,7 @@
             if not self.server.reserve_body_bytes(self, len(chunk)):
                 raise _RefusedError(
                     codes.ResultCode.QUEUE_FULL,
-                    "the request bodies in this node's memory reach the limit",
+                    "the request bodies on this node would exceed the memory limit",
                 )
         except _RefusedError as error:
             self.chunks.clear()
@@ -407,7 +407,8 @@
     if request_id is not None and not _is_id(request_id):
         raise _RefusedError(
             codes.ResultCode.REQUEST_INVALID,
-            f"X-Request-Id must have 1 to {MAX_ID_LENGTH} letters, digits or -_.:",
+            f"X-Request-Id must consist of 1 to {MAX_ID_LENGTH} letters, digits or "
+            "characters of -_.:",
         )
     team = headers.get("X-Team")
     if team is not None and not (0 < len(team) <= MAX_TEAM_LENGTH):
--- a/clementinespar/requests/slots.py
+++ b/clementinespar/requests/slots.py
@@ -46,7 +46,7 @@
     last_used_at: float = 0.0  # event-loop time of the newest attempt
     read_began_at: float = 0.0  # event-loop time of the newest status read
     is_paused: bool = False  # gets no new work until the status read ends
-    paused_at: float = 0.0  # event-loop time at which the newest pause ended
+    pause_ended_at: float = 0.0  # event-loop time at which the newest pause ended
 
     @property
     def in_use(self) -> int:
@@ -98,7 +98,7 @@
         return (
             self.is_status_known
             and self.in_doubt > 0
-            and now - max(self.in_doubt_since, self.paused_at) > PAUSE_AFTER_S
+            and now - max(self.in_doubt_since, self.pause_ended_at) > PAUSE_AFTER_S
         )
 
     def uses_before(self, at: float) -> list[SlotUse]:
--- a/clementinespar/requests/target_pool.py
+++ b/clementinespar/requests/target_pool.py
@@ -12,7 +12,7 @@
 # Time between two status reads of a target that has slots in doubt or is unresponsive.
 STATUS_INTERVAL_S = 0.5
 LEAVING_WATCH_INTERVAL_S = 2.0
-LEAVING_WATCH_S = 1800.0  # a host that is absent for longer counts as a new one
+LEAVING_WATCH_S = 1800.0  # the host list shows the return from a longer absence
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -177,7 +177,7 @@
         finally:
             if target_slots.is_paused:
                 target_slots.is_paused = False
-                target_slots.paused_at = loop.time()
+                target_slots.pause_ended_at = loop.time()
             target_slots.is_reading = False
             target_slots.next_read_at = loop.time() + STATUS_INTERVAL_S
         if status is None:
--- a/clementinespar/requests/tests/helpers.py
+++ b/clementinespar/requests/tests/helpers.py
@@ -117,7 +117,7 @@
         claims = self.source.state.claims.claims_by_request_id
         if request_id in claims or request_id in self.hidden_claims:
             return codes.ResultCode.ALREADY_CLAIMED
-        claims[request_id] = claims_state.HeldClaim("claim", "n1", 0)
+        claims[request_id] = claims_state.StoredClaim("claim", "n1", 0)
         if self.mode == "lost":
             await asyncio.sleep(timeout_s)
             return codes.ResultCode.CLAIM_UNAVAILABLE
--- a/clementinespar/requests/tests/test_dispatcher_faults.py
+++ b/clementinespar/requests/tests/test_dispatcher_faults.py
@@ -226,7 +226,7 @@
         elif outcome.kind is model.OutcomeKind.NOT_RUN and is_last:
             assert runs == 0, (outcome, "ran although it was refused as not run")
         if request.kind == "order":
-            assert runs <= 1, "a request that must not repeat ran again"
+            assert runs <= 1, "a request that is not repeatable ran again"
 
     def _runs(self, request_id: str) -> int:
         return sum(
--- a/clementinespar/requests/tests/test_dispatcher_policy.py
+++ b/clementinespar/requests/tests/test_dispatcher_policy.py
@@ -97,7 +97,7 @@
     run(main)
 
 
-def test_long_work_declared_short_is_learned_while_it_runs() -> None:
+def test_long_work_declared_short_is_reclassified_while_it_runs() -> None:
     """Guards against long work, declared as short, that occupies the short reserve."""
 
     async def main() -> None:
@@ -366,13 +366,13 @@
         assert setup.runs("1-slow") == 1
         setup.fakes["h0"].state.faults.silent = True
         setup.fakes["h1"].state.faults.silent = True
-        caught = setup.submit(request_id="1-caught")
+        hedged = setup.submit(request_id="1-hedged")
         await asyncio.sleep(0.1)
         # Only the target that received the request stays unresponsive.
         for name, fake in setup.fakes.items():
             in_use = setup.dispatcher._target_pool.slots_by_host_id[name].uses
             fake.state.faults.silent = bool(in_use)
-        outcome = await caught
+        outcome = await hedged
         assert outcome.kind is model.OutcomeKind.ANSWERED
         assert outcome.attempts == 2
 
@@ -453,7 +453,7 @@
 
 
 def test_budget_counts_the_last_ten_seconds() -> None:
-    """Guards against retries that accumulate over a long time."""
+    """Guards against unused retries that accumulate over a long time."""
     budget = retries.RetryBudget()
     for _ in range(100):
         budget.record_request(0.0)
--- a/clementinespar/requests/tests/test_resent_orders.py
+++ b/clementinespar/requests/tests/test_resent_orders.py
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass
 class _EntryNode:
-    """One entry node."""
+    """Fold, dispatcher and router of one entry node, with its view of the owners."""
 
     log_node: log_nodes.LogNode
     dispatcher: dispatcher.Dispatcher
@@ -165,7 +165,7 @@
         kinds = {first.kind, again.kind}
         assert runs == 1 or _ANSWERED not in kinds
         assert runs == 0 or kinds != {_NOT_RUN}
-        # A copy that is sent after the log faults end must not run the request either.
+        # A copy that is sent after the log faults end must not run a second time.
         last = await nodes.b.send(request_id)
         assert nodes.runs(request_id) <= 1
         assert runs == 0 or last.kind is model.OutcomeKind.UNKNOWN
--- a/clementinespar/requests/transport.py
+++ b/clementinespar/requests/transport.py
@@ -272,7 +272,7 @@
     is_leaving = headers.get("X-Leaving") == "1"
     echoed = headers.get("X-Request-Id")
     is_refusal = response.code == 503 and headers.get("X-Not-Started") == "1"
-    # A refusal before the target parsed the request may lack the echo.
+    # A refusal sent before the target has parsed the request may lack the request id.
     if echoed != request_id and not (is_refusal and echoed is None):
         return model.Attempt(
             model.AttemptKind.UNKNOWN,
