--- a/clementinespar/claims/claimer.py
+++ b/clementinespar/claims/claimer.py
@@ -100,13 +100,13 @@
         claim = messages.Claim(
             request_id=request_id, claim_id=secrets.token_hex(_CLAIM_ID_BYTES)
         )
-        pending = _PendingClaim(claim, loop.time() + timeout_s, loop.create_future())
-        self._pending_claims.append(pending)
+        waiting = _PendingClaim(claim, loop.time() + timeout_s, loop.create_future())
+        self._pending_claims.append(waiting)
         self._start_flush()
         code = codes.ResultCode.CLAIM_UNAVAILABLE
         try:
-            async with asyncio.timeout_at(pending.deadline):
-                code = await pending.result
+            async with asyncio.timeout_at(waiting.deadline):
+                code = await waiting.result
         except TimeoutError:
             pass
         finally:
@@ -114,7 +114,7 @@
             if code == codes.ResultCode.OK:
                 self._record_won(claim)
             else:
-                self._withdraw(pending)
+                self._withdraw(waiting)
         return code
 
     async def release(self, request_id: str) -> None:
@@ -152,17 +152,17 @@
                 return
             del self._won_by_request_id[request_id]  # too old to be claimed again
 
-    def _withdraw(self, pending: _PendingClaim) -> None:
+    def _withdraw(self, waiting: _PendingClaim) -> None:
         """Withdraw a claim whose request will not run."""
-        if pending in self._pending_claims:
-            self._pending_claims.remove(pending)
+        if waiting in self._pending_claims:
+            self._pending_claims.remove(waiting)
         elif (
-            pending.result.done()
-            and not pending.result.cancelled()
-            and pending.result.result() == codes.ResultCode.OK
+            waiting.result.done()
+            and not waiting.result.cancelled()
+            and waiting.result.result() == codes.ResultCode.OK
         ):
             # The claim won while its caller was being cancelled.
-            self._queue_release(pending.claim)
+            self._queue_release(waiting.claim)
         # Otherwise `_append_claims` finds that the result was cancelled.
 
     def _abandon(self, claim: messages.Claim) -> None:
@@ -229,23 +229,23 @@
             record_id=identifiers.new_id(issued_ms),
             issued_ms=issued_ms,
             author=self._author,
-            claims=tuple(pending.claim for pending in batch),
+            claims=tuple(waiting.claim for waiting in batch),
         )
-        timeout_s = max(pending.deadline for pending in batch) - now
+        timeout_s = max(waiting.deadline for waiting in batch) - now
         try:
             result = await self._appender.append(record, timeout_s)
         except errors.ClementinesparError as error:
             _log.info("append of {} claims got no result: {}", len(batch), error)
             result = None
             if not isinstance(error, errors.LogUnavailableError):
-                for pending in batch:
-                    self._abandon(pending.claim)
-        for pending in batch:
-            code = self._outcome(pending.claim, result)
-            if not pending.result.done():
-                pending.result.set_result(code)
+                for waiting in batch:
+                    self._abandon(waiting.claim)
+        for waiting in batch:
+            code = self._outcome(waiting.claim, result)
+            if not waiting.result.done():
+                waiting.result.set_result(code)
             elif code == codes.ResultCode.OK:
-                self._queue_release(pending.claim)
+                self._queue_release(waiting.claim)
 
     def _outcome(
         self, claim: messages.Claim, result: fleet_state.RecordResult | None
