--- a/clementinespar/claims/claimer.py
+++ b/clementinespar/claims/claimer.py
@@ -93,8 +93,8 @@
             or identifiers.parse_issued_ms(request_id) is None
         ):
             return codes.ResultCode.REQUEST_INVALID
-        held = self._source.state.claims.claims_by_request_id.get(request_id)
-        if held is not None and held.claim_id not in self._releasing_claim_ids:
+        stored = self._source.state.claims.claims_by_request_id.get(request_id)
+        if stored is not None and stored.claim_id not in self._releasing_claim_ids:
             return codes.ResultCode.ALREADY_CLAIMED
         loop = asyncio.get_running_loop()
         claim = messages.Claim(
@@ -142,10 +142,13 @@
 
     def _record_won(self, claim: messages.Claim) -> None:
         self._won_by_request_id[claim.request_id] = claim
-        held = self._source.state.claims.claims_by_request_id
+        stored_by_request_id = self._source.state.claims.claims_by_request_id
         while self._won_by_request_id:
             request_id, oldest = next(iter(self._won_by_request_id.items()))
-            if request_id in held and held[request_id].claim_id == oldest.claim_id:
+            if (
+                request_id in stored_by_request_id
+                and stored_by_request_id[request_id].claim_id == oldest.claim_id
+            ):
                 return
             del self._won_by_request_id[request_id]  # too old to be claimed again
 
@@ -176,12 +179,12 @@
         while self._abandoned_by_claim_id:
             await asyncio.sleep(_SWEEP_INTERVAL_S)
             now = asyncio.get_running_loop().time()
-            held_by_request_id = self._source.state.claims.claims_by_request_id
+            stored_by_request_id = self._source.state.claims.claims_by_request_id
             for claim_id, (claim, expires_at) in list(
                 self._abandoned_by_claim_id.items()
             ):
-                held = held_by_request_id.get(claim.request_id)
-                if held is not None and held.claim_id == claim_id:
+                stored = stored_by_request_id.get(claim.request_id)
+                if stored is not None and stored.claim_id == claim_id:
                     del self._abandoned_by_claim_id[claim_id]
                     self._queue_release(claim)
                 elif now > expires_at:
@@ -250,15 +253,15 @@
         """Return the result of a claim according to the fold."""
         if result is None or result.code != codes.ResultCode.OK:
             return codes.ResultCode.CLAIM_UNAVAILABLE
-        held = self._source.state.claims.claims_by_request_id.get(claim.request_id)
-        if held is None:
+        stored = self._source.state.claims.claims_by_request_id.get(claim.request_id)
+        if stored is None:
             # Either the request id was refused, or the winning claim has been released
             # or has expired since. This node must not dispatch in any of these cases.
             code = state.check_age(claim.request_id, result.timestamp_ms)
             if code != codes.ResultCode.OK:
                 return code
             return codes.ResultCode.CLAIM_UNAVAILABLE
-        if held.claim_id == claim.claim_id:
+        if stored.claim_id == claim.claim_id:
             return codes.ResultCode.OK
         return codes.ResultCode.ALREADY_CLAIMED
 
