--- a/clementinespar/requests/tests/test_dispatcher_faults.py
+++ b/clementinespar/requests/tests/test_dispatcher_faults.py
@@ -264,3 +264,26 @@
 TestDispatcherMachine.settings = hypothesis.settings(
     derandomize=True, deadline=None, max_examples=150, stateful_step_count=40
 )
+
+
+def test_assigned_request_is_not_sent_to_a_target_that_reports_leaving() -> None:
+    """Guards against an attempt at a target that reported leaving a moment before.
+
+    The slot is assigned in the same instant in which another attempt reports that the
+    target is leaving.
+    """
+    machine = DispatcherMachine()
+    try:
+        for count, deadline_s, declared_ms, run_ms, then_s in (
+            (2, 1.0, 100_000, 3000, 0.5),
+            (11, 1.0, None, 300, 0.005),
+            (2, 0.05, None, 0, 0.5),
+        ):
+            machine.submit(
+                "plan", run_ms, declared_ms, deadline_s, None, False, count, then_s
+            )
+        machine.set_fault(2, "leaving", True)
+        machine.advance(LONGEST_DEADLINE_S)
+        assert machine.transport.violations == []
+    finally:
+        machine._close_loop()
