--- a/clementinespar/jobs/pool_owner.py
+++ b/clementinespar/jobs/pool_owner.py
@@ -18,7 +18,6 @@
 
 from clementinespar import background, codes, errors, explanation
 from clementinespar.jobs import (
-    advice,
     demand,
     fenced_log,
     model,
@@ -28,6 +27,7 @@
     state,
     task_placer,
     telemetry,
+    tickets,
     worker_session,
     worker_use,
 )
@@ -84,7 +84,7 @@
     _cancelled_ids: set[str]
     _finished_commands: list[str]  # ids of jobs whose commands can be deleted
     _unsubscribe: Callable[[], None]
-    _tickets: advice.TicketCache
+    _tickets: tickets.TicketCache
     _run_times: demand.RunTimes
     _arrivals_by_pool: dict[str, demand.ArrivalRate]
     _dirty: dict[str, state.JobProgress]  # changed since the last append
@@ -135,7 +135,7 @@
         self._active = {}
         self._flush_wanted = asyncio.Event()
         self._schedule_wanted = asyncio.Event()
-        self._tickets = advice.TicketCache(adviser, log_event, self._schedule_wanted)
+        self._tickets = tickets.TicketCache(adviser, log_event, self._schedule_wanted)
         self._placer = task_placer.TaskPlacer(
             epoch, self.sessions_by_id, self._tickets, log_event, metrics
         )
--- a/clementinespar/jobs/task_placer.py
+++ b/clementinespar/jobs/task_placer.py
@@ -4,11 +4,11 @@
 import collections
 
 from clementinespar.jobs import (
-    advice,
     placement,
     services,
     state,
     telemetry,
+    tickets,
     worker_session,
 )
 
@@ -18,7 +18,7 @@
 
     _epoch: int
     _sessions_by_id: dict[str, worker_session.WorkerSession]
-    _tickets: advice.TicketCache
+    _tickets: tickets.TicketCache
     _log_event: services.EventLog
     _metrics: telemetry.JobMetrics
 
@@ -26,13 +26,13 @@
         self,
         epoch: int,
         sessions_by_id: dict[str, worker_session.WorkerSession],
-        tickets: advice.TicketCache,
+        ticket_cache: tickets.TicketCache,
         log_event: services.EventLog,
         metrics: telemetry.JobMetrics,
     ) -> None:
         self._epoch = epoch
         self._sessions_by_id = sessions_by_id
-        self._tickets = tickets
+        self._tickets = ticket_cache
         self._log_event = log_event
         self._metrics = metrics
 
@@ -53,12 +53,14 @@
         free_capacity: placement.FreeCapacity,
         now: float,
     ) -> None:
-        tickets: dict[str, str] = {}
+        tickets_by_worker_id: dict[str, str] = {}
         if job.spec.needs_advice:
-            tickets = self._tickets.find_valid(step, free_capacity.worker_ids())
-            free_capacity = free_capacity.restrict(tickets)
+            tickets_by_worker_id = self._tickets.find_valid(
+                step, free_capacity.worker_ids()
+            )
+            free_capacity = free_capacity.restrict(tickets_by_worker_id)
         if step.spec.is_gang:
-            self._place_gang(job, step, free_capacity, tickets, now)
+            self._place_gang(job, step, free_capacity, tickets_by_worker_id, now)
             return
         counts = self.count_per_worker(job, step)
         for index in sorted(step.waiting):
@@ -71,7 +73,7 @@
                     break
                 continue
             counts[session.entry.worker_id] += 1
-            ticket = tickets.get(session.entry.worker_id, "")
+            ticket = tickets_by_worker_id.get(session.entry.worker_id, "")
             number = job.next_run(task, self._epoch)
             self._start(job, step, task, number, session, ticket)
 
@@ -80,7 +82,7 @@
         job: state.JobProgress,
         step: state.StepState,
         free_capacity: placement.FreeCapacity,
-        tickets: dict[str, str],
+        tickets_by_worker_id: dict[str, str],
         now: float,
     ) -> None:
         """Start all members under one run number, or none of them."""
@@ -95,7 +97,7 @@
         saved = max((task.saved for task in step.tasks), default="")
         for task, session in zip(step.tasks, chosen, strict=True):
             task.saved = saved
-            ticket = tickets.get(session.entry.worker_id, "")
+            ticket = tickets_by_worker_id.get(session.entry.worker_id, "")
             self._start(job, step, task, number, session, ticket)
 
     def count_per_worker(
--- a/clementinespar/requests/admission.py
+++ b/clementinespar/requests/admission.py
@@ -4,7 +4,7 @@
 
 from clementinespar import codes
 from clementinespar.documents import model as document_model
-from clementinespar.requests import flights, model, selection, target_pool
+from clementinespar.requests import in_flight, model, selection, target_pool
 
 # Most bytes of bodies that wait or are in flight at once. The queue limits count only
 # requests, and a node has 128 MB for everything.
@@ -12,7 +12,7 @@
 
 
 def check_capacity(
-    in_flight: flights.InFlightRequest,
+    pending: in_flight.InFlightRequest,
     usable: Sequence[target_pool.PoolMember],
     document: document_model.Document,
     declared: document_model.Service,
@@ -27,7 +27,7 @@
 
     Parameters
     ----------
-    in_flight : flights.InFlightRequest
+    pending : in_flight.InFlightRequest
         The request that asks for admission.
     usable : sequence of target_pool.PoolMember
         Targets that may receive work of the service.
@@ -40,7 +40,7 @@
     now : float
         Event-loop time.
     """
-    service, entry = in_flight.service, in_flight.entry
+    service, entry = pending.service, pending.entry
     if entry.deadline <= now:
         return model.not_run(
             codes.ResultCode.DEADLINE_PASSED, "the deadline has passed"
@@ -65,7 +65,7 @@
         return model.not_run(
             codes.ResultCode.QUEUE_FULL, f"{waiting} requests are waiting already"
         )
-    if buffered_bytes + len(in_flight.request.body) > MAX_BUFFERED_BYTES:
+    if buffered_bytes + len(pending.request.body) > MAX_BUFFERED_BYTES:
         return model.not_run(
             codes.ResultCode.QUEUE_FULL,
             "the bodies of waiting and running requests would exceed the memory limit",
--- a/clementinespar/requests/dispatcher.py
+++ b/clementinespar/requests/dispatcher.py
@@ -23,7 +23,7 @@
 from clementinespar.requests import (
     admission,
     claiming,
-    flights,
+    in_flight,
     model,
     queueing,
     retries,
@@ -79,9 +79,9 @@
     _targets: model.TargetDirectory
     _transport: model.TargetTransport
     _claimer: claiming.RequestClaimer
-    _services_by_name: dict[str, flights.ServiceState]
+    _services_by_name: dict[str, in_flight.ServiceState]
     _target_pool: target_pool.TargetPool
-    _in_flight_by_request_id: dict[str, flights.InFlightRequest]
+    _in_flight_by_request_id: dict[str, in_flight.InFlightRequest]
     # Outcomes of requests that failed on several targets, oldest first.
     _refused_by_request_id: collections.OrderedDict[str, model.Outcome]
     _tasks: set[asyncio.Task[Any]]  # prevents garbage collection of running tasks
@@ -119,38 +119,38 @@
     ) -> model.Outcome:
         """Return the outcome of a request; see `model.RequestHandler`."""
         now = asyncio.get_running_loop().time()
-        in_flight = self._in_flight_by_request_id.get(request.request_id)
-        if in_flight is None:
+        pending = self._in_flight_by_request_id.get(request.request_id)
+        if pending is None:
             admitted = self._admit(request, on_started, now)
             if isinstance(admitted, model.Outcome):
                 return admitted
-            in_flight = admitted
-        elif not _is_same_request(in_flight.request, request):
+            pending = admitted
+        elif not _is_same_request(pending.request, request):
             return model.unknown(
                 codes.ResultCode.ALREADY_CLAIMED,
                 "another request with this id is in flight",
             )
         else:
-            in_flight.started_callbacks.append(on_started)
-            if in_flight.has_started:
+            pending.started_callbacks.append(on_started)
+            if pending.has_started:
                 on_started()
-        assert in_flight.task is not None
-        in_flight.waiters += 1
+        assert pending.task is not None
+        pending.waiters += 1
         try:
             await asyncio.wait(
-                {in_flight.task},
+                {pending.task},
                 timeout=max(0.0, request.deadline - now) + DEADLINE_GRACE_S,
             )
         finally:
-            in_flight.waiters -= 1
-            if in_flight.waiters == 0:
-                self._drop_if_queued(in_flight)
-        if not in_flight.task.done():
+            pending.waiters -= 1
+            if pending.waiters == 0:
+                self._drop_if_queued(pending)
+        if not pending.task.done():
             return model.unknown(
                 codes.ResultCode.OUTCOME_UNKNOWN,
                 "the request was still in flight at its deadline",
             )
-        return in_flight.task.result()
+        return pending.task.result()
 
     # Capacity planning, explanation and shutdown.
 
@@ -208,7 +208,7 @@
 
     def _admit(
         self, request: model.Request, on_started: Callable[[], None], now: float
-    ) -> flights.InFlightRequest | model.Outcome:
+    ) -> in_flight.InFlightRequest | model.Outcome:
         """Return an in-flight request whose task is started, or the refusal."""
         refused = self._refused_by_request_id.get(request.request_id)
         if refused is not None:
@@ -238,12 +238,12 @@
                 codes.ResultCode.NODE_STOPPING, "the owner node is stopping"
             )
         service = self._service_state(request.service, now)
-        in_flight = self._make_in_flight(
+        pending = self._make_in_flight(
             request, service, declared, kind, on_started, now
         )
         usable = self._usable_targets(service, now)
         refusal = admission.check_capacity(
-            in_flight,
+            pending,
             usable,
             document,
             declared,
@@ -259,27 +259,27 @@
             return refusal
         # Refused requests put no load on the targets, so they add no retries.
         service.budget.record_request(now)
-        self._in_flight_by_request_id[request.request_id] = in_flight
+        self._in_flight_by_request_id[request.request_id] = pending
         self._buffered_bytes += len(request.body)
         self._idle.clear()
-        in_flight.task = asyncio.get_running_loop().create_task(self._run(in_flight))
+        pending.task = asyncio.get_running_loop().create_task(self._run(pending))
         # Counted now, not when the task runs: the admission of requests that arrive in
         # the same iteration of the event loop must count this one.
-        if in_flight.is_repeatable:
-            self._enqueue(in_flight)
+        if pending.is_repeatable:
+            self._enqueue(pending)
         else:
             service.claiming_count += 1
-        return in_flight
+        return pending
 
     def _make_in_flight(
         self,
         request: model.Request,
-        service: flights.ServiceState,
+        service: in_flight.ServiceState,
         declared: document_model.Service,
         kind: document_model.Kind,
         on_started: Callable[[], None],
         now: float,
-    ) -> flights.InFlightRequest:
+    ) -> in_flight.InFlightRequest:
         declared_ms = request.declared_run_ms or kind.declared_run_ms
         is_long = service.is_long_by_kind.get(
             request.kind, declared_ms > declared.short_run_ms
@@ -296,11 +296,11 @@
             is_long=is_long,
         )
         service.queue.record_arrival(is_long, now)
-        return flights.InFlightRequest(
+        return in_flight.InFlightRequest(
             request, service, entry, kind.repeatable, declared_ms / 1000, [on_started]
         )
 
-    def _service_state(self, name: str, now: float) -> flights.ServiceState:
+    def _service_state(self, name: str, now: float) -> in_flight.ServiceState:
         """Return the state of a service, creating it if needed.
 
         If the node was idle for long enough that another node may have owned the queue,
@@ -308,7 +308,7 @@
         """
         service = self._services_by_name.get(name)
         if service is None:
-            service = self._services_by_name[name] = flights.ServiceState(name, now)
+            service = self._services_by_name[name] = in_flight.ServiceState(name, now)
         is_idle = not service.uses and not len(service.queue)
         if is_idle and now - service.last_active_at > OWNERSHIP_IDLE_S:
             self._target_pool.invalidate_slots(service.host_ids)
@@ -317,161 +317,159 @@
 
     # Execution of one request.
 
-    async def _run(self, in_flight: flights.InFlightRequest) -> model.Outcome:
+    async def _run(self, pending: in_flight.InFlightRequest) -> model.Outcome:
         """Return the outcome of an admitted request; never raises."""
         try:
-            outcome = await self._claim_and_send(in_flight)
+            outcome = await self._claim_and_send(pending)
         except Exception:
-            _log.exception("request {} failed", in_flight.request.request_id)
-            make_outcome = model.unknown if in_flight.has_started else model.not_run
+            _log.exception("request {} failed", pending.request.request_id)
+            make_outcome = model.unknown if pending.has_started else model.not_run
             outcome = make_outcome(codes.ResultCode.INTERNAL_ERROR, "internal error")
-        if in_flight.is_claimed and outcome.kind is model.OutcomeKind.NOT_RUN:
-            await self._claimer.release(in_flight.request)
+        if pending.is_claimed and outcome.kind is model.OutcomeKind.NOT_RUN:
+            await self._claimer.release(pending.request)
         loop = asyncio.get_running_loop()
         if outcome.code in _CAPACITY_CODES:
-            in_flight.service.meter.record_refusal(loop.time())
-        self._buffered_bytes -= len(in_flight.request.body)
-        del self._in_flight_by_request_id[in_flight.request.request_id]
+            pending.service.meter.record_refusal(loop.time())
+        self._buffered_bytes -= len(pending.request.body)
+        del self._in_flight_by_request_id[pending.request.request_id]
         if not self._in_flight_by_request_id:
             self._idle.set()
         return dataclasses.replace(
-            outcome, attempts=in_flight.attempts, waited_s=in_flight.waited_s
+            outcome, attempts=pending.attempts, waited_s=pending.waited_s
         )
 
     async def _claim_and_send(
-        self, in_flight: flights.InFlightRequest
+        self, pending: in_flight.InFlightRequest
     ) -> model.Outcome:
-        if not in_flight.is_repeatable:
+        if not pending.is_repeatable:
             try:
-                refusal = await self._claim(in_flight)
+                refusal = await self._claim(pending)
             finally:
-                in_flight.service.claiming_count -= 1
+                pending.service.claiming_count -= 1
             if refusal is not None:
                 return refusal
         while True:
-            assignment = await self._wait_for_slot(in_flight)
+            assignment = await self._wait_for_slot(pending)
             if isinstance(assignment, model.Outcome):
                 if assignment.kind is model.OutcomeKind.ANSWERED:
                     return assignment
-                return self._outcome_of_failures(in_flight, assignment)
-            self._start_attempt(in_flight, assignment)
-            answer = await self._wait_for_answer(in_flight)
+                return self._outcome_of_failures(pending, assignment)
+            self._start_attempt(pending, assignment)
+            answer = await self._wait_for_answer(pending)
             if answer is not None:
                 return _answered(*answer)
-            if in_flight.is_hedging:
-                in_flight.is_hedging = False
+            if pending.is_hedging:
+                pending.is_hedging = False
                 continue
-            refusal = self._check_retry(in_flight)
+            refusal = self._check_retry(pending)
             if refusal is not None:
-                return self._outcome_of_failures(in_flight, refusal)
+                return self._outcome_of_failures(pending, refusal)
 
-    async def _claim(self, in_flight: flights.InFlightRequest) -> model.Outcome | None:
+    async def _claim(self, pending: in_flight.InFlightRequest) -> model.Outcome | None:
         """Claim a request; returns the refusal if it must not be sent, else None."""
         now = asyncio.get_running_loop().time()
-        min_expected_s = in_flight.service.run_times.min_expected_s(
-            in_flight.request.kind, now
+        min_expected_s = pending.service.run_times.min_expected_s(
+            pending.request.kind, now
         )
         refusal = await self._claimer.claim(
-            in_flight.request, in_flight.request.deadline - now - min_expected_s
+            pending.request, pending.request.deadline - now - min_expected_s
         )
-        in_flight.is_claimed = refusal is None
+        pending.is_claimed = refusal is None
         return refusal
 
     async def _wait_for_slot(
-        self, in_flight: flights.InFlightRequest
-    ) -> flights.Assignment | model.Outcome:
+        self, pending: in_flight.InFlightRequest
+    ) -> in_flight.Assignment | model.Outcome:
         """Wait in the queue; returns a target with a slot, or the refusal."""
         loop = asyncio.get_running_loop()
-        entry = in_flight.entry
-        if in_flight.assignment is None:
-            if in_flight.waiters == 0:
+        entry = pending.entry
+        if pending.assignment is None:
+            if pending.waiters == 0:
                 return _cancelled()
-            self._enqueue(in_flight)
-        assert in_flight.assignment is not None
-        assignment = await in_flight.assignment
-        in_flight.assignment = None
-        in_flight.waited_s += loop.time() - in_flight.queued_at
-        if isinstance(assignment, flights.Assignment) and (
-            in_flight.waiters == 0 or loop.time() >= entry.deadline
+            self._enqueue(pending)
+        assert pending.assignment is not None
+        assignment = await pending.assignment
+        pending.assignment = None
+        pending.waited_s += loop.time() - pending.queued_at
+        if isinstance(assignment, in_flight.Assignment) and (
+            pending.waiters == 0 or loop.time() >= entry.deadline
         ):
             # The caller left, or the deadline passed, after the slot was assigned.
-            self._release_unused(in_flight, assignment)
-            if in_flight.waiters == 0:
+            self._release_unused(pending, assignment)
+            if pending.waiters == 0:
                 return _cancelled()
             return model.not_run(
                 codes.ResultCode.DEADLINE_PASSED, "the deadline has passed"
             )
         return assignment
 
-    def _enqueue(self, in_flight: flights.InFlightRequest) -> None:
+    def _enqueue(self, pending: in_flight.InFlightRequest) -> None:
         """Add a request to the queue; `_dequeue` removes it."""
         loop = asyncio.get_running_loop()
-        service, entry = in_flight.service, in_flight.entry
+        service, entry = pending.service, pending.entry
         entry.is_long = service.is_long_by_kind.get(entry.kind, entry.is_long)
-        in_flight.assignment = loop.create_future()
-        in_flight.queued_at = loop.time()
-        service.requests_by_entry[entry] = in_flight
+        pending.assignment = loop.create_future()
+        pending.queued_at = loop.time()
+        service.requests_by_entry[entry] = pending
         service.queue.add(entry)
         min_expected_s = service.run_times.min_expected_s(entry.kind, loop.time())
-        in_flight.expiry = loop.call_at(
-            entry.deadline - min_expected_s, self._expire, in_flight
+        pending.expiry = loop.call_at(
+            entry.deadline - min_expected_s, self._expire, pending
         )
         service.update_demand(loop.time())
         self._dispatch_queued(service)
 
     def _start_attempt(
-        self, in_flight: flights.InFlightRequest, assignment: flights.Assignment
+        self, pending: in_flight.InFlightRequest, assignment: in_flight.Assignment
     ) -> None:
-        in_flight.attempts += 1
-        in_flight.tried_host_ids.add(assignment.target.host_id)
-        in_flight.mark_started()
-        task = self._spawn(self._attempt(in_flight, assignment))
-        in_flight.running.add(task)
+        pending.attempts += 1
+        pending.tried_host_ids.add(assignment.target.host_id)
+        pending.mark_started()
+        task = self._spawn(self._attempt(pending, assignment))
+        pending.running.add(task)
 
     async def _attempt(
-        self, in_flight: flights.InFlightRequest, assignment: flights.Assignment
+        self, pending: in_flight.InFlightRequest, assignment: in_flight.Assignment
     ) -> tuple[str, model.Attempt]:
         """Make one attempt and record its result, even if all callers have left."""
         loop = asyncio.get_running_loop()
-        service, use = in_flight.service, assignment.use
+        service, use = pending.service, assignment.use
         document = self._source.state.documents.production
         declared = None if document is None else document.services.get(service.name)
         short_run_s = math.inf if declared is None else declared.short_run_ms / 1000
         timer = None
         if not use.is_long and short_run_s < math.inf:
-            timer = loop.call_later(
-                short_run_s, self._reclassify_as_long, in_flight, use
-            )
+            timer = loop.call_later(short_run_s, self._reclassify_as_long, pending, use)
         began_at = loop.time()
         try:
             attempt = await self._transport.send(
                 assignment.target,
-                in_flight.request,
-                in_flight.request.deadline - began_at,
-                in_flight.is_repeatable,
+                pending.request,
+                pending.request.deadline - began_at,
+                pending.is_repeatable,
             )
         except Exception:
-            _log.exception("attempt of {} failed", in_flight.request.request_id)
+            _log.exception("attempt of {} failed", pending.request.request_id)
             attempt = model.Attempt(
                 model.AttemptKind.UNKNOWN, codes.ResultCode.INTERNAL_ERROR
             )
         finally:
             if timer is not None:
                 timer.cancel()
-        self._record_attempt(in_flight, assignment, attempt, loop.time() - began_at)
+        self._record_attempt(pending, assignment, attempt, loop.time() - began_at)
         return assignment.target.host_id, attempt
 
     def _record_attempt(
         self,
-        in_flight: flights.InFlightRequest,
-        assignment: flights.Assignment,
+        pending: in_flight.InFlightRequest,
+        assignment: in_flight.Assignment,
         attempt: model.Attempt,
         run_s: float,
     ) -> None:
         """Record a finished attempt: slot, run time, ejection, leaving."""
         now = asyncio.get_running_loop().time()
-        service, host_id = in_flight.service, assignment.target.host_id
-        request_id = in_flight.request.request_id
+        service, host_id = pending.service, assignment.target.host_id
+        request_id = pending.request.request_id
         is_answer = attempt.kind is model.AttemptKind.ANSWERED
         # A target that answers, with whatever status, has finished the work.
         is_over = attempt.kind is not model.AttemptKind.UNKNOWN or attempt.status != 0
@@ -481,12 +479,12 @@
         if attempt.is_leaving:
             self._target_pool.mark_leaving(assignment.target, service.name)
         if is_answer:
-            if in_flight.assignment is not None and not in_flight.assignment.done():
+            if pending.assignment is not None and not pending.assignment.done():
                 # The unresponsive target answered while its request was queued for a
                 # second target.
-                self._dequeue(in_flight, _answered(host_id, attempt))
-            service.run_times.observe(in_flight.request.kind, run_s, now)
-            self._update_class(service, in_flight.request.kind)
+                self._dequeue(pending, _answered(host_id, attempt))
+            service.run_times.observe(pending.request.kind, run_s, now)
+            self._update_class(service, pending.request.kind)
             service.ejections.record_success(host_id, request_id, now)
         elif attempt.is_leaving:
             service.ejections.cancel_probe(host_id)
@@ -502,29 +500,29 @@
         self._dispatch_after_release(service)
 
     async def _wait_for_answer(
-        self, in_flight: flights.InFlightRequest
+        self, pending: in_flight.InFlightRequest
     ) -> tuple[str, model.Attempt] | None:
         """Wait for the attempts in flight; None if all of them failed."""
         loop = asyncio.get_running_loop()
-        give_up_at = in_flight.request.deadline + DEADLINE_GRACE_S / 2
+        give_up_at = pending.request.deadline + DEADLINE_GRACE_S / 2
         began_at = loop.time()
-        hedge_at = began_at + self._hedge_delay_s(in_flight)
+        hedge_at = began_at + self._hedge_delay_s(pending)
         check: asyncio.Task[None] | None = None
-        while in_flight.running:
+        while pending.running:
             now = loop.time()
             if now >= give_up_at:
                 unresponsive = model.Attempt(
                     model.AttemptKind.UNKNOWN, codes.ResultCode.TARGET_SILENT
                 )
-                in_flight.failures.append(("", unresponsive))
+                pending.failures.append(("", unresponsive))
                 return None
             if now >= hedge_at:
                 # The estimated run time may have changed since the attempt started.
-                hedge_at = began_at + self._hedge_delay_s(in_flight)
+                hedge_at = began_at + self._hedge_delay_s(pending)
                 if now >= hedge_at:
                     hedge_at = math.inf
-                    check = self._spawn(self._hedge_if_unresponsive(in_flight))
-            waits_for: set[asyncio.Task[Any]] = set(in_flight.running)
+                    check = self._spawn(self._hedge_if_unresponsive(pending))
+            waits_for: set[asyncio.Task[Any]] = set(pending.running)
             if check is not None:
                 waits_for.add(check)
             await asyncio.wait(
@@ -534,35 +532,35 @@
             )
             if check is not None and check.done():
                 check = None
-                if in_flight.is_hedging:
+                if pending.is_hedging:
                     return None
-            for task in [task for task in in_flight.running if task.done()]:
-                in_flight.running.discard(task)
+            for task in [task for task in pending.running if task.done()]:
+                pending.running.discard(task)
                 host_id, attempt = task.result()
                 if attempt.kind is model.AttemptKind.ANSWERED:
                     return host_id, attempt
-                in_flight.failures.append((host_id, attempt))
+                pending.failures.append((host_id, attempt))
         return None
 
-    def _hedge_delay_s(self, in_flight: flights.InFlightRequest) -> float:
+    def _hedge_delay_s(self, pending: in_flight.InFlightRequest) -> float:
         """Return after what time without an answer the target is checked."""
-        expected_s = in_flight.service.run_times.expected_s(
-            in_flight.request.kind, in_flight.declared_s
+        expected_s = pending.service.run_times.expected_s(
+            pending.request.kind, pending.declared_s
         )
         return max(HEDGE_DELAY_S, HEDGE_DELAY_RUN_TIMES * expected_s)
 
-    async def _hedge_if_unresponsive(self, in_flight: flights.InFlightRequest) -> None:
+    async def _hedge_if_unresponsive(self, pending: in_flight.InFlightRequest) -> None:
         """Request a second attempt if the first target is unresponsive.
 
         A straggler still occupies one of the busy slots that its target reports, and is
         not hedged. The first attempt keeps its slot, and its answer still counts.
         """
         loop = asyncio.get_running_loop()
-        service, request_id = in_flight.service, in_flight.request.request_id
+        service, request_id = pending.service, pending.request.request_id
         targets_by_host_id = {
             target.host_id: target for target in self._targets_of(service.name)
         }
-        for host_id in in_flight.tried_host_ids & targets_by_host_id.keys():
+        for host_id in pending.tried_host_ids & targets_by_host_id.keys():
             old_uses = self._target_pool.slots_by_host_id[host_id].uses_before(
                 loop.time() - HEDGE_DELAY_S / 2
             )
@@ -576,44 +574,43 @@
                 host_id, request_id, loop.time(), len(service.host_ids)
             )
         if (
-            not in_flight.running
-            or in_flight.waiters == 0
-            or not in_flight.is_repeatable
-            or in_flight.attempts >= retries.MAX_ATTEMPTS
-            or loop.time() >= in_flight.request.deadline
-            or all(host_id in in_flight.tried_host_ids for host_id in service.host_ids)
-            or self._exhausted_quota(service, in_flight.entry) is not None
+            not pending.running
+            or pending.waiters == 0
+            or not pending.is_repeatable
+            or pending.attempts >= retries.MAX_ATTEMPTS
+            or loop.time() >= pending.request.deadline
+            or all(host_id in pending.tried_host_ids for host_id in service.host_ids)
+            or self._exhausted_quota(service, pending.entry) is not None
         ):
             return
         # The second attempt is queued like any other request, with the request's
         # original order of arrival.
-        in_flight.is_hedging = service.budget.try_acquire(loop.time())
+        pending.is_hedging = service.budget.try_acquire(loop.time())
 
-    def _check_retry(self, in_flight: flights.InFlightRequest) -> model.Outcome | None:
+    def _check_retry(self, pending: in_flight.InFlightRequest) -> model.Outcome | None:
         """Return the refusal if a failed request must not be sent again, else None."""
         now = asyncio.get_running_loop().time()
-        service = in_flight.service
+        service = pending.service
         has_run = any(
-            attempt.kind is model.AttemptKind.UNKNOWN
-            for _, attempt in in_flight.failures
+            attempt.kind is model.AttemptKind.UNKNOWN for _, attempt in pending.failures
         )
-        if has_run and not in_flight.is_repeatable:
+        if has_run and not pending.is_repeatable:
             return model.not_run(
                 codes.ResultCode.TARGETS_REFUSED, "the request may have run"
             )
-        if in_flight.waiters == 0:
+        if pending.waiters == 0:
             return _cancelled()
-        if now >= in_flight.request.deadline:
+        if now >= pending.request.deadline:
             return model.not_run(
                 codes.ResultCode.DEADLINE_PASSED, "the deadline has passed"
             )
-        if in_flight.attempts >= retries.MAX_ATTEMPTS or not any(
-            target.host_id not in in_flight.tried_host_ids
+        if pending.attempts >= retries.MAX_ATTEMPTS or not any(
+            target.host_id not in pending.tried_host_ids
             for target in self._targets_of(service.name)
         ):
             return model.not_run(
                 codes.ResultCode.TARGETS_REFUSED,
-                f"{in_flight.attempts} targets did not accept the request",
+                f"{pending.attempts} targets did not accept the request",
             )
         if not service.budget.try_acquire(now):
             return model.not_run(
@@ -623,27 +620,27 @@
         return None
 
     def _outcome_of_failures(
-        self, in_flight: flights.InFlightRequest, refusal: model.Outcome
+        self, pending: in_flight.InFlightRequest, refusal: model.Outcome
     ) -> model.Outcome:
         """Return the outcome of a request without an answered attempt."""
         may_have_run = [
             (host_id, attempt)
-            for host_id, attempt in in_flight.failures
+            for host_id, attempt in pending.failures
             if attempt.kind is model.AttemptKind.UNKNOWN
         ]
-        if not may_have_run and not in_flight.running:
-            host_id = in_flight.failures[-1][0] if in_flight.failures else None
+        if not may_have_run and not pending.running:
+            host_id = pending.failures[-1][0] if pending.failures else None
             return dataclasses.replace(refusal, host_id=host_id)
         host_ids = {host_id for host_id, _ in may_have_run if host_id}
         if len(host_ids) > 1:
-            in_flight.service.ejections.discard_failures(
-                in_flight.request.request_id, host_ids
+            pending.service.ejections.discard_failures(
+                pending.request.request_id, host_ids
             )
             outcome = model.unknown(
                 codes.ResultCode.REQUEST_FAILED_REPEATEDLY,
                 f"the request failed on {len(host_ids)} targets",
             )
-            self._refused_by_request_id[in_flight.request.request_id] = outcome
+            self._refused_by_request_id[pending.request.request_id] = outcome
             while len(self._refused_by_request_id) > MAX_REFUSED_IDS:
                 self._refused_by_request_id.popitem(last=False)
             return outcome
@@ -661,16 +658,16 @@
 
     # Queue and choice of targets.
 
-    def _drop_if_queued(self, in_flight: flights.InFlightRequest) -> None:
+    def _drop_if_queued(self, pending: in_flight.InFlightRequest) -> None:
         """Drop a queued request whose callers have all left."""
-        if in_flight.assignment is not None and not in_flight.assignment.done():
-            self._dequeue(in_flight, _cancelled())
+        if pending.assignment is not None and not pending.assignment.done():
+            self._dequeue(pending, _cancelled())
 
-    def _expire(self, in_flight: flights.InFlightRequest) -> None:
+    def _expire(self, pending: in_flight.InFlightRequest) -> None:
         """Refuse a queued request that can no longer finish before its deadline."""
-        if in_flight.assignment is None or in_flight.assignment.done():
+        if pending.assignment is None or pending.assignment.done():
             return
-        service, entry = in_flight.service, in_flight.entry
+        service, entry = pending.service, pending.entry
         now = asyncio.get_running_loop().time()
         usable = self._usable_targets(service, now)
         code = codes.ResultCode.DEADLINE_TOO_SHORT
@@ -683,10 +680,10 @@
             if max_slots is not None:
                 code = codes.ResultCode.TEAM_QUOTA_EXCEEDED
                 reason = f"team {entry.team} used its {max_slots} slots"
-        self._dequeue(in_flight, model.not_run(code, reason))
+        self._dequeue(pending, model.not_run(code, reason))
 
     def _exhausted_quota(
-        self, service: flights.ServiceState, entry: queueing.QueueEntry
+        self, service: in_flight.ServiceState, entry: queueing.QueueEntry
     ) -> int | None:
         """Return the slot quota of a request's team if it is exhausted, else None."""
         document = self._source.state.documents.production
@@ -700,18 +697,18 @@
 
     def _dequeue(
         self,
-        in_flight: flights.InFlightRequest,
-        result: flights.Assignment | model.Outcome,
+        pending: in_flight.InFlightRequest,
+        result: in_flight.Assignment | model.Outcome,
     ) -> None:
         """Remove a request from the queue and resolve its assignment."""
-        assert in_flight.assignment is not None and in_flight.expiry is not None
-        in_flight.expiry.cancel()
-        in_flight.service.queue.remove(in_flight.entry)
-        del in_flight.service.requests_by_entry[in_flight.entry]
-        in_flight.assignment.set_result(result)
-        in_flight.service.update_demand(asyncio.get_running_loop().time())
-
-    def _dispatch_queued(self, service: flights.ServiceState) -> None:
+        assert pending.assignment is not None and pending.expiry is not None
+        pending.expiry.cancel()
+        pending.service.queue.remove(pending.entry)
+        del pending.service.requests_by_entry[pending.entry]
+        pending.assignment.set_result(result)
+        pending.service.update_demand(asyncio.get_running_loop().time())
+
+    def _dispatch_queued(self, service: in_flight.ServiceState) -> None:
         """Assign free slots to the queued requests of a service."""
         loop = asyncio.get_running_loop()
         now = loop.time()
@@ -725,24 +722,24 @@
             found = selection.select_next(service, usable, slot_counts, now)
             if found is None:
                 break
-            in_flight, chosen = found
-            self._dequeue(in_flight, self._assign(in_flight, chosen, now))
+            pending, chosen = found
+            self._dequeue(pending, self._assign(pending, chosen, now))
         if len(service.queue) and service.dispatch_timer is None:
             service.dispatch_timer = loop.call_later(
                 DISPATCH_INTERVAL_S, self._on_dispatch_timer, service
             )
 
-    def _on_dispatch_timer(self, service: flights.ServiceState) -> None:
+    def _on_dispatch_timer(self, service: in_flight.ServiceState) -> None:
         service.dispatch_timer = None
         self._dispatch_queued(service)
 
     def _assign(
         self,
-        in_flight: flights.InFlightRequest,
+        pending: in_flight.InFlightRequest,
         chosen: target_pool.PoolMember,
         now: float,
-    ) -> flights.Assignment:
-        service, entry = in_flight.service, in_flight.entry
+    ) -> in_flight.Assignment:
+        service, entry = pending.service, pending.entry
         host_id = chosen.target.host_id
         if service.ejections.is_ejected(host_id):
             service.ejections.start_probe(host_id)
@@ -750,20 +747,20 @@
             entry.request_id, entry.is_long, entry.team, now, chosen.is_lent
         )
         service.uses[use] = entry.kind
-        return flights.Assignment(chosen.target, chosen.slots, use)
+        return in_flight.Assignment(chosen.target, chosen.slots, use)
 
     def _release_unused(
-        self, in_flight: flights.InFlightRequest, assignment: flights.Assignment
+        self, pending: in_flight.InFlightRequest, assignment: in_flight.Assignment
     ) -> None:
         """Release a slot to which no attempt was sent."""
         now = asyncio.get_running_loop().time()
         assignment.target_slots.release(assignment.use, True, now)
-        in_flight.service.uses.pop(assignment.use, None)
-        in_flight.service.ejections.cancel_probe(assignment.target.host_id)
-        self._dispatch_after_release(in_flight.service)
+        pending.service.uses.pop(assignment.use, None)
+        pending.service.ejections.cancel_probe(assignment.target.host_id)
+        self._dispatch_after_release(pending.service)
 
     def _usable_targets(
-        self, service: flights.ServiceState, now: float
+        self, service: in_flight.ServiceState, now: float
     ) -> list[target_pool.PoolMember]:
         """Return the targets that may receive work of a service, with their slots."""
         document = self._source.state.documents.production
@@ -790,12 +787,12 @@
             if name in document.services and document.services[name].pool == pool
         )
 
-    def _dispatch_after_release(self, service: flights.ServiceState) -> None:
+    def _dispatch_after_release(self, service: in_flight.ServiceState) -> None:
         """Assign a released slot to its service first, then to other services."""
         self._dispatch_queued(service)
         self._dispatch_all(skipped=service)
 
-    def _dispatch_all(self, skipped: flights.ServiceState | None = None) -> None:
+    def _dispatch_all(self, skipped: in_flight.ServiceState | None = None) -> None:
         """Assign free slots to the queued requests of all services but ``skipped``."""
         for service in list(self._services_by_name.values()):
             if len(service.queue) and service is not skipped:
@@ -811,7 +808,7 @@
     # Run-time classes.
 
     def _reclassify_as_long(
-        self, in_flight: flights.InFlightRequest, use: slots.SlotUse
+        self, pending: in_flight.InFlightRequest, use: slots.SlotUse
     ) -> None:
         """Count a running request as long once it exceeds the short class's limit."""
         now = asyncio.get_running_loop().time()
@@ -819,12 +816,12 @@
         # A lower bound of the run time, recorded before the answer: otherwise many long
         # requests that were declared short would take all slots before the first one
         # finished.
-        in_flight.service.run_times.observe(
-            in_flight.request.kind, 2 * (now - use.started_at), now
+        pending.service.run_times.observe(
+            pending.request.kind, 2 * (now - use.started_at), now
         )
-        self._update_class(in_flight.service, in_flight.request.kind)
+        self._update_class(pending.service, pending.request.kind)
 
-    def _update_class(self, service: flights.ServiceState, kind: str) -> None:
+    def _update_class(self, service: in_flight.ServiceState, kind: str) -> None:
         document = self._source.state.documents.production
         declared = None if document is None else document.services.get(service.name)
         if declared is None:
--- a/clementinespar/requests/selection.py
+++ b/clementinespar/requests/selection.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from clementinespar.documents import model as document_model
-from clementinespar.requests import flights, queueing, target_pool
+from clementinespar.requests import in_flight, queueing, target_pool
 
 # A probe puts its request at risk. A request that is not repeatable is used as a probe
 # only if the probe has been due for this long.
@@ -13,7 +13,7 @@
 
 
 def has_free_target(
-    service: flights.ServiceState,
+    service: in_flight.ServiceState,
     usable: Sequence[target_pool.PoolMember],
     now: float,
 ) -> bool:
@@ -29,24 +29,24 @@
 
 
 def select_next(
-    service: flights.ServiceState,
+    service: in_flight.ServiceState,
     usable: Sequence[target_pool.PoolMember],
     slot_counts: queueing.SlotCounts,
     now: float,
-) -> tuple[flights.InFlightRequest, target_pool.PoolMember] | None:
+) -> tuple[in_flight.InFlightRequest, target_pool.PoolMember] | None:
     """Return the next request to start and its target, or None."""
     for entry in service.queue.candidates(slot_counts, now):
-        in_flight = service.requests_by_entry[entry]
-        chosen = choose_target(service, usable, in_flight, now)
+        pending = service.requests_by_entry[entry]
+        chosen = choose_target(service, usable, pending, now)
         if chosen is not None:
-            return in_flight, chosen
+            return pending, chosen
     return None
 
 
 def choose_target(
-    service: flights.ServiceState,
+    service: in_flight.ServiceState,
     usable: Sequence[target_pool.PoolMember],
-    in_flight: flights.InFlightRequest,
+    pending: in_flight.InFlightRequest,
     now: float,
 ) -> target_pool.PoolMember | None:
     """Return the least loaded target, or an ejected one that is due for a probe.
@@ -57,11 +57,11 @@
     best_key = (True, math.inf, math.inf)
     for member in usable:
         host_id = member.target.host_id
-        if not member.free or host_id in in_flight.tried_host_ids:
+        if not member.free or host_id in pending.tried_host_ids:
             continue
         if service.ejections.is_ejected(host_id):
             # A request that is not repeatable probes only if the probe is overdue.
-            probe_at = now if in_flight.is_repeatable else now - PROBE_OVERDUE_S
+            probe_at = now if pending.is_repeatable else now - PROBE_OVERDUE_S
             if service.ejections.is_probe_due(host_id, probe_at):
                 return member
             continue
@@ -74,7 +74,7 @@
 
 
 def count_slots(
-    service: flights.ServiceState,
+    service: in_flight.ServiceState,
     usable: Sequence[target_pool.PoolMember],
     document: document_model.Document,
     declared: document_model.Service,
--- a/clementinespar/requests/service_explanation.py
+++ b/clementinespar/requests/service_explanation.py
@@ -4,12 +4,12 @@
 from typing import Any
 
 from clementinespar import codes
-from clementinespar.requests import flights, target_pool
+from clementinespar.requests import in_flight, target_pool
 
 
 def explain(
     service: str,
-    service_state: flights.ServiceState | None,
+    service_state: in_flight.ServiceState | None,
     usable: Sequence[target_pool.PoolMember],
     state: str,
     now: float,
@@ -20,7 +20,7 @@
     ----------
     service : str
         Name of the service.
-    service_state : flights.ServiceState or None
+    service_state : in_flight.ServiceState or None
         This node's state of the service; None if it received no request for it.
     usable : sequence of target_pool.PoolMember
         Targets that may receive work of the service.
