--- a/clementinespar/requests/admission.py
+++ b/clementinespar/requests/admission.py
@@ -4,7 +4,7 @@
 
 from clementinespar import codes
 from clementinespar.documents import model as document_model
-from clementinespar.requests import flights, model, selection, target_pool
+from clementinespar.requests import in_flight_requests, model, selection, target_pool
 
 # Most bytes of bodies that wait or are in flight at once. The queue limits count only
 # requests, and a node has 128 MB for everything.
@@ -12,7 +12,7 @@
 
 
 def check_capacity(
-    in_flight: flights.InFlightRequest,
+    in_flight: in_flight_requests.InFlightRequest,
     usable: Sequence[target_pool.PoolMember],
     document: document_model.Document,
     declared: document_model.Service,
@@ -27,7 +27,7 @@
 
     Parameters
     ----------
-    in_flight : flights.InFlightRequest
+    in_flight : in_flight_requests.InFlightRequest
         The request that asks for admission.
     usable : sequence of target_pool.PoolMember
         Targets that may receive work of the service.
--- a/clementinespar/requests/dispatcher.py
+++ b/clementinespar/requests/dispatcher.py
@@ -23,7 +23,7 @@
 from clementinespar.requests import (
     admission,
     claiming,
-    flights,
+    in_flight_requests,
     model,
     queueing,
     retries,
@@ -79,9 +79,9 @@
     _targets: model.TargetDirectory
     _transport: model.TargetTransport
     _claimer: claiming.RequestClaimer
-    _services_by_name: dict[str, flights.ServiceState]
+    _services_by_name: dict[str, in_flight_requests.ServiceState]
     _target_pool: target_pool.TargetPool
-    _in_flight_by_request_id: dict[str, flights.InFlightRequest]
+    _in_flight_by_request_id: dict[str, in_flight_requests.InFlightRequest]
     # Outcomes of requests that failed on several targets, oldest first.
     _refused_by_request_id: collections.OrderedDict[str, model.Outcome]
     _tasks: set[asyncio.Task[Any]]  # prevents garbage collection of running tasks
@@ -208,7 +208,7 @@
 
     def _admit(
         self, request: model.Request, on_started: Callable[[], None], now: float
-    ) -> flights.InFlightRequest | model.Outcome:
+    ) -> in_flight_requests.InFlightRequest | model.Outcome:
         """Return an in-flight request whose task is started, or the refusal."""
         refused = self._refused_by_request_id.get(request.request_id)
         if refused is not None:
@@ -274,12 +274,12 @@
     def _make_in_flight(
         self,
         request: model.Request,
-        service: flights.ServiceState,
+        service: in_flight_requests.ServiceState,
         declared: document_model.Service,
         kind: document_model.Kind,
         on_started: Callable[[], None],
         now: float,
-    ) -> flights.InFlightRequest:
+    ) -> in_flight_requests.InFlightRequest:
         declared_ms = request.declared_run_ms or kind.declared_run_ms
         is_long = service.is_long_by_kind.get(
             request.kind, declared_ms > declared.short_run_ms
@@ -296,11 +296,11 @@
             is_long=is_long,
         )
         service.queue.record_arrival(is_long, now)
-        return flights.InFlightRequest(
+        return in_flight_requests.InFlightRequest(
             request, service, entry, kind.repeatable, declared_ms / 1000, [on_started]
         )
 
-    def _service_state(self, name: str, now: float) -> flights.ServiceState:
+    def _service_state(self, name: str, now: float) -> in_flight_requests.ServiceState:
         """Return the state of a service, creating it if needed.
 
         If the node was idle for long enough that another node may have owned the queue,
@@ -308,7 +308,9 @@
         """
         service = self._services_by_name.get(name)
         if service is None:
-            service = self._services_by_name[name] = flights.ServiceState(name, now)
+            service = self._services_by_name[name] = in_flight_requests.ServiceState(
+                name, now
+            )
         is_idle = not service.uses and not len(service.queue)
         if is_idle and now - service.last_active_at > OWNERSHIP_IDLE_S:
             self._target_pool.invalidate_slots(service.host_ids)
@@ -317,7 +319,9 @@
 
     # Execution of one request.
 
-    async def _run(self, in_flight: flights.InFlightRequest) -> model.Outcome:
+    async def _run(
+        self, in_flight: in_flight_requests.InFlightRequest
+    ) -> model.Outcome:
         """Return the outcome of an admitted request; never raises."""
         try:
             outcome = await self._claim_and_send(in_flight)
@@ -339,7 +343,7 @@
         )
 
     async def _claim_and_send(
-        self, in_flight: flights.InFlightRequest
+        self, in_flight: in_flight_requests.InFlightRequest
     ) -> model.Outcome:
         if not in_flight.is_repeatable:
             try:
@@ -365,7 +369,9 @@
             if refusal is not None:
                 return self._outcome_of_failures(in_flight, refusal)
 
-    async def _claim(self, in_flight: flights.InFlightRequest) -> model.Outcome | None:
+    async def _claim(
+        self, in_flight: in_flight_requests.InFlightRequest
+    ) -> model.Outcome | None:
         """Claim a request; returns the refusal if it must not be sent, else None."""
         now = asyncio.get_running_loop().time()
         min_expected_s = in_flight.service.run_times.min_expected_s(
@@ -378,8 +384,8 @@
         return refusal
 
     async def _wait_for_slot(
-        self, in_flight: flights.InFlightRequest
-    ) -> flights.Assignment | model.Outcome:
+        self, in_flight: in_flight_requests.InFlightRequest
+    ) -> in_flight_requests.Assignment | model.Outcome:
         """Wait in the queue; returns a target with a slot, or the refusal."""
         loop = asyncio.get_running_loop()
         entry = in_flight.entry
@@ -391,7 +397,7 @@
         assignment = await in_flight.assignment
         in_flight.assignment = None
         in_flight.waited_s += loop.time() - in_flight.queued_at
-        if isinstance(assignment, flights.Assignment) and (
+        if isinstance(assignment, in_flight_requests.Assignment) and (
             in_flight.waiters == 0 or loop.time() >= entry.deadline
         ):
             # The caller left, or the deadline passed, after the slot was assigned.
@@ -403,7 +409,7 @@
             )
         return assignment
 
-    def _enqueue(self, in_flight: flights.InFlightRequest) -> None:
+    def _enqueue(self, in_flight: in_flight_requests.InFlightRequest) -> None:
         """Add a request to the queue; `_dequeue` removes it."""
         loop = asyncio.get_running_loop()
         service, entry = in_flight.service, in_flight.entry
@@ -420,7 +426,9 @@
         self._dispatch_queued(service)
 
     def _start_attempt(
-        self, in_flight: flights.InFlightRequest, assignment: flights.Assignment
+        self,
+        in_flight: in_flight_requests.InFlightRequest,
+        assignment: in_flight_requests.Assignment,
     ) -> None:
         in_flight.attempts += 1
         in_flight.tried_host_ids.add(assignment.target.host_id)
@@ -429,7 +437,9 @@
         in_flight.running.add(task)
 
     async def _attempt(
-        self, in_flight: flights.InFlightRequest, assignment: flights.Assignment
+        self,
+        in_flight: in_flight_requests.InFlightRequest,
+        assignment: in_flight_requests.Assignment,
     ) -> tuple[str, model.Attempt]:
         """Make one attempt and record its result, even if all callers have left."""
         loop = asyncio.get_running_loop()
@@ -463,8 +473,8 @@
 
     def _record_attempt(
         self,
-        in_flight: flights.InFlightRequest,
-        assignment: flights.Assignment,
+        in_flight: in_flight_requests.InFlightRequest,
+        assignment: in_flight_requests.Assignment,
         attempt: model.Attempt,
         run_s: float,
     ) -> None:
@@ -502,7 +512,7 @@
         self._dispatch_after_release(service)
 
     async def _wait_for_answer(
-        self, in_flight: flights.InFlightRequest
+        self, in_flight: in_flight_requests.InFlightRequest
     ) -> tuple[str, model.Attempt] | None:
         """Wait for the attempts in flight; None if all of them failed."""
         loop = asyncio.get_running_loop()
@@ -544,14 +554,16 @@
                 in_flight.failures.append((host_id, attempt))
         return None
 
-    def _hedge_delay_s(self, in_flight: flights.InFlightRequest) -> float:
+    def _hedge_delay_s(self, in_flight: in_flight_requests.InFlightRequest) -> float:
         """Return after what time without an answer the target is checked."""
         expected_s = in_flight.service.run_times.expected_s(
             in_flight.request.kind, in_flight.declared_s
         )
         return max(HEDGE_DELAY_S, HEDGE_DELAY_RUN_TIMES * expected_s)
 
-    async def _hedge_if_unresponsive(self, in_flight: flights.InFlightRequest) -> None:
+    async def _hedge_if_unresponsive(
+        self, in_flight: in_flight_requests.InFlightRequest
+    ) -> None:
         """Request a second attempt if the first target is unresponsive.
 
         A straggler still occupies one of the busy slots that its target reports, and is
@@ -589,7 +601,9 @@
         # original order of arrival.
         in_flight.is_hedging = service.budget.try_acquire(loop.time())
 
-    def _check_retry(self, in_flight: flights.InFlightRequest) -> model.Outcome | None:
+    def _check_retry(
+        self, in_flight: in_flight_requests.InFlightRequest
+    ) -> model.Outcome | None:
         """Return the refusal if a failed request must not be sent again, else None."""
         now = asyncio.get_running_loop().time()
         service = in_flight.service
@@ -623,7 +637,7 @@
         return None
 
     def _outcome_of_failures(
-        self, in_flight: flights.InFlightRequest, refusal: model.Outcome
+        self, in_flight: in_flight_requests.InFlightRequest, refusal: model.Outcome
     ) -> model.Outcome:
         """Return the outcome of a request without an answered attempt."""
         may_have_run = [
@@ -661,12 +675,12 @@
 
     # Queue and choice of targets.
 
-    def _drop_if_queued(self, in_flight: flights.InFlightRequest) -> None:
+    def _drop_if_queued(self, in_flight: in_flight_requests.InFlightRequest) -> None:
         """Drop a queued request whose callers have all left."""
         if in_flight.assignment is not None and not in_flight.assignment.done():
             self._dequeue(in_flight, _cancelled())
 
-    def _expire(self, in_flight: flights.InFlightRequest) -> None:
+    def _expire(self, in_flight: in_flight_requests.InFlightRequest) -> None:
         """Refuse a queued request that can no longer finish before its deadline."""
         if in_flight.assignment is None or in_flight.assignment.done():
             return
@@ -686,7 +700,7 @@
         self._dequeue(in_flight, model.not_run(code, reason))
 
     def _exhausted_quota(
-        self, service: flights.ServiceState, entry: queueing.QueueEntry
+        self, service: in_flight_requests.ServiceState, entry: queueing.QueueEntry
     ) -> int | None:
         """Return the slot quota of a request's team if it is exhausted, else None."""
         document = self._source.state.documents.production
@@ -700,8 +714,8 @@
 
     def _dequeue(
         self,
-        in_flight: flights.InFlightRequest,
-        result: flights.Assignment | model.Outcome,
+        in_flight: in_flight_requests.InFlightRequest,
+        result: in_flight_requests.Assignment | model.Outcome,
     ) -> None:
         """Remove a request from the queue and resolve its assignment."""
         assert in_flight.assignment is not None and in_flight.expiry is not None
@@ -711,7 +725,7 @@
         in_flight.assignment.set_result(result)
         in_flight.service.update_demand(asyncio.get_running_loop().time())
 
-    def _dispatch_queued(self, service: flights.ServiceState) -> None:
+    def _dispatch_queued(self, service: in_flight_requests.ServiceState) -> None:
         """Assign free slots to the queued requests of a service."""
         loop = asyncio.get_running_loop()
         now = loop.time()
@@ -732,16 +746,16 @@
                 DISPATCH_INTERVAL_S, self._on_dispatch_timer, service
             )
 
-    def _on_dispatch_timer(self, service: flights.ServiceState) -> None:
+    def _on_dispatch_timer(self, service: in_flight_requests.ServiceState) -> None:
         service.dispatch_timer = None
         self._dispatch_queued(service)
 
     def _assign(
         self,
-        in_flight: flights.InFlightRequest,
+        in_flight: in_flight_requests.InFlightRequest,
         chosen: target_pool.PoolMember,
         now: float,
-    ) -> flights.Assignment:
+    ) -> in_flight_requests.Assignment:
         service, entry = in_flight.service, in_flight.entry
         host_id = chosen.target.host_id
         if service.ejections.is_ejected(host_id):
@@ -750,10 +764,12 @@
             entry.request_id, entry.is_long, entry.team, now, chosen.is_lent
         )
         service.uses[use] = entry.kind
-        return flights.Assignment(chosen.target, chosen.slots, use)
+        return in_flight_requests.Assignment(chosen.target, chosen.slots, use)
 
     def _release_unused(
-        self, in_flight: flights.InFlightRequest, assignment: flights.Assignment
+        self,
+        in_flight: in_flight_requests.InFlightRequest,
+        assignment: in_flight_requests.Assignment,
     ) -> None:
         """Release a slot to which no attempt was sent."""
         now = asyncio.get_running_loop().time()
@@ -763,7 +779,7 @@
         self._dispatch_after_release(in_flight.service)
 
     def _usable_targets(
-        self, service: flights.ServiceState, now: float
+        self, service: in_flight_requests.ServiceState, now: float
     ) -> list[target_pool.PoolMember]:
         """Return the targets that may receive work of a service, with their slots."""
         document = self._source.state.documents.production
@@ -790,12 +806,14 @@
             if name in document.services and document.services[name].pool == pool
         )
 
-    def _dispatch_after_release(self, service: flights.ServiceState) -> None:
+    def _dispatch_after_release(self, service: in_flight_requests.ServiceState) -> None:
         """Assign a released slot to its service first, then to other services."""
         self._dispatch_queued(service)
         self._dispatch_all(skipped=service)
 
-    def _dispatch_all(self, skipped: flights.ServiceState | None = None) -> None:
+    def _dispatch_all(
+        self, skipped: in_flight_requests.ServiceState | None = None
+    ) -> None:
         """Assign free slots to the queued requests of all services but ``skipped``."""
         for service in list(self._services_by_name.values()):
             if len(service.queue) and service is not skipped:
@@ -811,7 +829,7 @@
     # Run-time classes.
 
     def _reclassify_as_long(
-        self, in_flight: flights.InFlightRequest, use: slots.SlotUse
+        self, in_flight: in_flight_requests.InFlightRequest, use: slots.SlotUse
     ) -> None:
         """Count a running request as long once it exceeds the short class's limit."""
         now = asyncio.get_running_loop().time()
@@ -824,7 +842,9 @@
         )
         self._update_class(in_flight.service, in_flight.request.kind)
 
-    def _update_class(self, service: flights.ServiceState, kind: str) -> None:
+    def _update_class(
+        self, service: in_flight_requests.ServiceState, kind: str
+    ) -> None:
         document = self._source.state.documents.production
         declared = None if document is None else document.services.get(service.name)
         if declared is None:
--- a/clementinespar/requests/selection.py
+++ b/clementinespar/requests/selection.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from clementinespar.documents import model as document_model
-from clementinespar.requests import flights, queueing, target_pool
+from clementinespar.requests import in_flight_requests, queueing, target_pool
 
 # A probe puts its request at risk. A request that is not repeatable is used as a probe
 # only if the probe has been due for this long.
@@ -13,7 +13,7 @@
 
 
 def has_free_target(
-    service: flights.ServiceState,
+    service: in_flight_requests.ServiceState,
     usable: Sequence[target_pool.PoolMember],
     now: float,
 ) -> bool:
@@ -29,11 +29,11 @@
 
 
 def select_next(
-    service: flights.ServiceState,
+    service: in_flight_requests.ServiceState,
     usable: Sequence[target_pool.PoolMember],
     slot_counts: queueing.SlotCounts,
     now: float,
-) -> tuple[flights.InFlightRequest, target_pool.PoolMember] | None:
+) -> tuple[in_flight_requests.InFlightRequest, target_pool.PoolMember] | None:
     """Return the next request to start and its target, or None."""
     for entry in service.queue.candidates(slot_counts, now):
         in_flight = service.requests_by_entry[entry]
@@ -44,9 +44,9 @@
 
 
 def choose_target(
-    service: flights.ServiceState,
+    service: in_flight_requests.ServiceState,
     usable: Sequence[target_pool.PoolMember],
-    in_flight: flights.InFlightRequest,
+    in_flight: in_flight_requests.InFlightRequest,
     now: float,
 ) -> target_pool.PoolMember | None:
     """Return the least loaded target, or an ejected one that is due for a probe.
@@ -74,7 +74,7 @@
 
 
 def count_slots(
-    service: flights.ServiceState,
+    service: in_flight_requests.ServiceState,
     usable: Sequence[target_pool.PoolMember],
     document: document_model.Document,
     declared: document_model.Service,
