--- a/clementinespar/jobs/placement.py
+++ b/clementinespar/jobs/placement.py
@@ -14,11 +14,11 @@
 
 # Classes of jobs, placed in this order.
 LASTING = 0
-BEGUN = 1
+STARTED = 1
 NEW = 2
 LATE = 3
 # Shares of the duration of the remaining chain of steps.
-BEGUN_TOLERANCE = 0.3  # estimates are off by half
+STARTED_TOLERANCE = 0.3  # estimates are off by half
 NEW_MARGIN = 0.15  # for the time that later steps wait
 
 
@@ -29,10 +29,10 @@
 ) -> tuple[int, int, float]:
     """Return the sorting key of a job; the lowest is placed first.
 
-    Lasting jobs go first, since they are of use all the time. Jobs that have started
-    and can still meet their objective follow, then new ones by their slack. A new job
-    counts as late when it has little slack left: under overload, jobs that start
-    without slack would all end just after their objective. Late jobs go last, the
+    Lasting jobs go first, since they earn worth only while they run. Jobs that have
+    started and can still meet their objective follow, then new ones by their slack. A
+    new job counts as late when it has little slack left: under overload, jobs that
+    start without slack would all end just after their objective. Late jobs go last, the
     latest last.
     """
     if job.is_lasting:
@@ -40,8 +40,8 @@
     chain_s = job.remaining_ms(estimate_ms) / 1000
     slack_s = job.deadline - now - chain_s
     if job.has_started:
-        if slack_s >= -BEGUN_TOLERANCE * chain_s:
-            return (BEGUN, job.spec.priority, slack_s)
+        if slack_s >= -STARTED_TOLERANCE * chain_s:
+            return (STARTED, job.spec.priority, slack_s)
     elif slack_s >= NEW_MARGIN * chain_s:
         return (NEW, job.spec.priority, slack_s)
     return (LATE, job.spec.priority, -slack_s)
--- a/clementinespar/jobs/tests/test_placement.py
+++ b/clementinespar/jobs/tests/test_placement.py
@@ -18,8 +18,8 @@
     ("is_lasting", "has_started", "slack_s", "wanted"),
     [
         (True, False, -100.0, placement.LASTING),
-        (False, True, 0.0, placement.BEGUN),
-        (False, True, -0.1, placement.BEGUN),
+        (False, True, 0.0, placement.STARTED),
+        (False, True, -0.1, placement.STARTED),
         (False, True, -1.0, placement.LATE),
         (False, False, 1.0, placement.NEW),
         (False, False, 0.01, placement.LATE),  # likely to end just after its objective
--- a/clementinespar/jobs/tests/test_pool_owner.py
+++ b/clementinespar/jobs/tests/test_pool_owner.py
@@ -377,7 +377,8 @@
 async def test_changes_of_owner_do_not_prolong_the_wait_for_a_worker() -> None:
     """Guards against a wait for previous leases that restarts with each owner.
 
-    If the owner changes every few seconds, a lasting task would stay down for as long.
+    If the owner changes every few seconds, a lasting task of an unresponsive rack would
+    stay down for as long; it was down for 20 s.
     """
     workers = fakes.FakeWorkers(3)
     harness = helpers.OwnerHarness(workers)
@@ -469,7 +470,7 @@
     """Guards against waiting for the lease of a worker without runs.
 
     Its host was moved, or it became unresponsive while idle. A lasting task would stay
-    down for a whole lease if the owner changes meanwhile.
+    down for a whole lease, 6 s, if the owner changes meanwhile.
     """
     workers = fakes.FakeWorkers(2)
     harness = helpers.OwnerHarness(workers)
--- a/clementinespar/jobs/worker_session.py
+++ b/clementinespar/jobs/worker_session.py
@@ -19,7 +19,7 @@
 RENEW_WAIT_MS = 800  # a renewal waits at the worker this long for a run to end
 SETTLE_WAIT_MS = 60  # shorter wait while a start or a stop has no answer
 RENEW_SPACING_S = 0.025  # batches ends, since each renewal has a cost
-RETRY_DELAY_S = 0.15
+RETRY_DELAY_S = 0.15  # after a renewal without an answer
 UNRESPONSIVE_AFTER_S = 1.6  # no new work for a worker without contact for this long
 # A worker is ejected after failures of this many jobs without a success in between.
 EJECT_FAILED_JOBS = 2
@@ -407,7 +407,7 @@
             self.born_ms = report.born_ms
             self.processed = 0
             self.acknowledged = 0
-        is_whole = True
+        is_complete = True
         for end in report.ended:
             if end.number <= self.processed:
                 continue
@@ -417,7 +417,7 @@
                 self.drop_run(run)
             self._events.on_end(self, end, run)
         if len(report.ended) >= 500:
-            is_whole = False  # the worker lists at most 500 ends at a time
+            is_complete = False  # the worker lists at most 500 ends at a time
         listed = set()
         for item in report.running:
             listed.add((item.task, item.run))
@@ -439,7 +439,7 @@
                 run.percent = item.percent
                 run.percent_at = now
             run.usage = item.usage
-        if is_whole:
+        if is_complete:
             for run in list(self.runs.values()):
                 if (run.key, run.number) not in listed:
                     self._settle_unlisted(run, sent_at)
--- a/clementinespar/requests/target_pool.py
+++ b/clementinespar/requests/target_pool.py
@@ -12,7 +12,8 @@
 # Time between two status reads of a target that has slots in doubt or is unresponsive.
 STATUS_INTERVAL_S = 0.5
 LEAVING_WATCH_INTERVAL_S = 2.0
-LEAVING_WATCH_S = 1800.0  # the host list shows the return from a longer absence
+# Polling of a leaving target ends after this; a later return shows in the host list.
+LEAVING_WATCH_S = 1800.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/clementinespar/requests/transport.py
+++ b/clementinespar/requests/transport.py
@@ -289,16 +289,16 @@
             is_leaving=is_leaving,
         )
     # Without a length, a broken connection cannot be told from the end of the answer.
-    is_whole = (
+    is_complete = (
         "Content-Length" in headers
         or headers.get("Transfer-Encoding", "").lower() == "chunked"
     )
-    if response.code != 200 or not is_whole:
+    if response.code != 200 or not is_complete:
         return model.Attempt(
             model.AttemptKind.UNKNOWN,
             codes.ResultCode.OUTCOME_UNKNOWN,
             f"the target answered with status {response.code}"
-            + ("" if is_whole else " and an answer of unknown length"),
+            + ("" if is_complete else " and an answer of unknown length"),
             status=response.code,
             is_leaving=is_leaving,
         )
--- a/clementinespar/tests/fleets.py
+++ b/clementinespar/tests/fleets.py
@@ -86,7 +86,7 @@
         self.state = fleet_state.FleetState()
         self.entries: list[log_service.LogEntry] = []
         self.now_ms = EPOCH_MS
-        self.made_count = 0  # keeps record ids unique
+        self.record_count = 0  # keeps record ids unique
 
     def apply(self, record: base.Record) -> codes.ResultCode:
         return self.apply_payload(records.encode_record(record))
@@ -98,9 +98,9 @@
         return fleet_state.apply_entry(self.state, entry)
 
     def make(self, record_type: type[base.Record], **fields: Any) -> base.Record:
-        self.made_count += 1
+        self.record_count += 1
         return record_type(
-            record_id=f"{self.now_ms}-{self.made_count}",
+            record_id=f"{self.now_ms}-{self.record_count}",
             issued_ms=self.now_ms,
             author="test",
             **fields,
@@ -122,18 +122,18 @@
         )
 
 
-def check_budget(state: fleet_state.FleetState, taken: pools_state.HostState) -> None:
+def check_budget(state: fleet_state.FleetState, host: pools_state.HostState) -> None:
     """Check I1, the budget, after a host that was in service was taken out."""
     document = state.documents.production
     assert document is not None
-    limits = document.pools[taken.pool].budget
-    members = [h for h in state.pools.hosts_by_id.values() if h.pool == taken.pool]
+    limits = document.pools[host.pool].budget
+    members = [h for h in state.pools.hosts_by_id.values() if h.pool == host.pool]
     serving = [h for h in members if h.out is None and h.failed_since_ms is None]
     assert len(serving) >= limits.min_available
     out = [h for h in members if h not in serving and not (h.out and h.out.is_moved)]
-    in_data_centre = [h for h in out if h.data_centre == taken.data_centre]
+    in_data_centre = [h for h in out if h.data_centre == host.data_centre]
     assert len(in_data_centre) <= limits.max_out_per_data_centre
-    in_rack = [h for h in in_data_centre if h.rack == taken.rack]
+    in_rack = [h for h in in_data_centre if h.rack == host.rack]
     assert len(in_rack) <= limits.max_out_per_rack
 
 
