--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the policy, of whole processes and of the planned size."""
+"""Benchmarks of the policy, of whole processes and of the planned size."""
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of processes, read from the kernel."""
+"""Processor time and memory of processes, read from ``/proc``."""
 
 import os
 import pathlib
@@ -13,8 +13,8 @@
 
 
 def processor_s(pid: int | str) -> float:
-    """Return the user and system time that a process has used, in seconds."""
+    """Return the user and system time used by a process, in seconds."""
     text = pathlib.Path(f"/proc/{pid}/stat").read_text(encoding="ascii")
-    # The command name in parentheses may hold spaces; fields count from behind it.
+    # The command name, in parentheses, may contain spaces: split the text after it.
     fields = text.rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
